--- a/tests/test_net_connect_timeout.py
+++ b/tests/test_net_connect_timeout.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from ironledge.net import counter as counter_module
-from ironledge.net import discovery as discovery_module
-from ironledge.net.counter import Counter, CounterLine
-from ironledge.net.discovery import Discovery, Watch
+from quota_ingress.net.counter import client as counter_module
+from quota_ingress.net.counter.client import Counter, CounterLine
+from quota_ingress.net.discovery import watch as discovery_module
+from quota_ingress.net.discovery.watch import Discovery, Watch
 from tests.net_helpers import HOST, PeerServer
 
 LIMIT = 0.05  # s for a connection to come up
--- a/tests/test_net_system_calls.py
+++ b/tests/test_net_system_calls.py
@@ -13,7 +13,7 @@
 import pytest
 import pytest_asyncio
 
-from fleetlab.faults import SHORT, Call, Faults, build
+from ingress_testbed.faults import SHORT, Call, Faults, build
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
 from tests.test_net_main import ask, config, listens, start
 
