--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -13,12 +13,15 @@
 from typing import Any
 
 from ingress_testbed.model import Shape, address
-from ingress_testbed.program import Answer, Clock, Entry, Listing, Names, Wanted, table
+from quota_ingress.net.clock import Clock
 from quota_ingress.net.counter.client import Counter
-from quota_ingress.net.discovery.operator_overrides import Maintenance
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.watch import Discovery
+from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.http import Body, Room
+from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.policy.events import Outcome
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import Settings
@@ -32,8 +35,8 @@
 
     written = True
 
-    def __init__(self, ended: Callable[[Answer], None]) -> None:
-        self._timer = asyncio.get_running_loop().call_later(WORK, ended, Answer(Outcome.OK))
+    def __init__(self, ended: Callable[[AttemptResult], None]) -> None:
+        self._timer = asyncio.get_running_loop().call_later(WORK, ended, AttemptResult(Outcome.OK))
 
     def abort(self) -> bool:
         self._timer.cancel()
@@ -43,27 +46,27 @@
         return False
 
 
-class Servers:
+class HollowUpstream:
     """Backends that answer all."""
 
-    def know(self, entry: Entry, backend: int) -> None: ...
-    def settle(self, gone: Iterable[int]) -> None: ...
-    def close_idle(self, backend: int) -> None: ...
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
+    def reconcile(self, gone: Iterable[int]) -> None: ...
+    def close_idle_connections(self, backend: int) -> None: ...
 
     def send(
         self,
         backend: int,
         head: bytes,
-        ended: Callable[[Answer], None],
+        ended: Callable[[AttemptResult], None],
         once: bool = False,
         body: Body | None = None,
-        started: Callable[[Answer], None] | None = None,
+        started: Callable[[AttemptResult], None] | None = None,
         permit: Callable[[], bytes | None] = lambda: b"",
     ) -> Attempt:
         permit()
         return Attempt(ended)
 
-    def probe(self, backend: int, ended: Callable[[Answer], None]) -> None:
+    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None:
         Attempt(ended)
 
 
@@ -73,15 +76,15 @@
     def __init__(self) -> None:
         self.served = self.refused = self.failed = 0
 
-    def serve(self, answer: Answer) -> None:
+    def respond(self, answer: AttemptResult) -> None:
         self.served += 1
 
-    stream = serve
+    stream_response = respond
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return False
 
-    def refuse(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         self.refused += 1
 
     def fail(self, timed_out: bool) -> None:
@@ -96,21 +99,21 @@
         self.seen: dict[int, float] = {}  # by version of the list, when it was in force (monotonic clock)
         self.client, self._rng = Client(), random.Random(settings.gateway_index)
         gateway = Gateway(settings, settings.gateway_index + 1)
-        self.engine = Engine(gateway, settings, Names(settings, raw), loop, clock.now)
-        self.engine.servers = Servers()
-        shared = table(self.engine)
-        self.maintenance = Maintenance(clock.now, self.engine.listed, **shared)
+        self.engine = Engine(gateway, settings, SettingsIndex(settings, raw), loop, clock.now)
+        self.engine.upstream = HollowUpstream()
+        directory = self.engine.directory
+        self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, directory=directory)
         self.counter = Counter(counter, settings.counter.timeout, settings.fleet_size)
         self.engine.counter = self.counter
-        self.discovery = Discovery(discovery, None, self._listed, settings.fleet_size, **shared)
-        self._room = Room()
+        self.discovery = Discovery(discovery, None, self._listed, settings.fleet_size, directory=directory)
+        self._room = MemoryBudget()
         self._number = 0
 
     def start(self) -> None:
         self.discovery.start()
         self.counter.start()
 
-    def _listed(self, listing: Listing) -> None:
+    def _listed(self, listing: EndpointList) -> None:
         self.maintenance.listed(listing)
         self.seen[listing.index] = time.monotonic()
 
@@ -123,7 +126,7 @@
             self._number += 1
             body = Body(self._room)
             body.whole = True
-            wanted = Wanted(
+            wanted = ParsedRequest(
                 b"%x-%x" % (settings.gateway_index, self._number),
                 0,
                 0,
@@ -137,7 +140,7 @@
                 b"",
                 body,
             )
-            self.engine.arrived(wanted, self.client)
+            self.engine.on_request(wanted, self.client)
 
 
 class Crowd:
--- a/ingress_testbed/worker.py
+++ b/ingress_testbed/worker.py
@@ -24,7 +24,7 @@
 # The program under test goes before this project's own on the path; this package is loaded already then.
 BOOT = (
     "import sys; own, program, target = sys.argv[1:]; sys.path.insert(0, own); "
-    "from ingress_testbed import worker; sys.path.insert(0, program); worker.main(target)"
+    "from ingress_testbed import worker; sys.path.insert(0, program); worker.main(target, program)"
 )
 
 
@@ -76,10 +76,20 @@
         await self._process.wait()
 
 
-async def _host(target: str) -> None:
+def _check_program(program: Path) -> None:
+    """Ends a worker that would measure another program than the one under test, as a commit may hold none
+    that this package can import.
+    """
+    module = sys.modules.get("quota_ingress")
+    if module and module.__file__ and not Path(module.__file__).is_relative_to(program):
+        raise SystemExit(f"no package quota_ingress in {program}: only its process can be measured")
+
+
+async def _host(target: str, program: Path) -> None:
     logging.basicConfig(level=logging.ERROR)  # hollow ones warn of what a run does to them on purpose
     module, _, name = target.partition(":")
     host = getattr(importlib.import_module(module), name)()
+    _check_program(program)
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MOST)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -97,5 +107,5 @@
         out.write(json.dumps(answer).encode() + b"\n")
 
 
-def main(target: str) -> None:
-    uvloop.run(_host(target))
+def main(target: str, program: str) -> None:
+    uvloop.run(_host(target, Path(program)))
--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -20,18 +20,18 @@
 from quota_ingress.net.admin import Admin
 from quota_ingress.net.clock import Clock
 from quota_ingress.net.counter.client import Counter
-from quota_ingress.net.descriptors import CALLERS, Sockets
-from quota_ingress.net.discovery.endpoint_list import Entry, Listing, pack, skip
-from quota_ingress.net.discovery.operator_overrides import Maintenance
+from quota_ingress.net.descriptors import CALLERS, DescriptorBudget
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList, pack, skip
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.retry import IN_FORCE
 from quota_ingress.net.discovery.watch import Discovery
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import Names
-from quota_ingress.net.event_log import Trace
-from quota_ingress.net.http import Room
+from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.event_log import EventLog
+from quota_ingress.net.http import MemoryBudget
 from quota_ingress.net.lifecycle.upgrade import Handover
-from quota_ingress.net.upstream.client import Backends
+from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import Settings
@@ -75,7 +75,7 @@
     memory_mb: float
     inherited: int | None  # the descriptor of the clients' listening socket, where the platform holds it
     shared: str  # the folder that a process started beside this one sees, too
-    known: Listing | None  # as last held; None where it cannot be read
+    known: EndpointList | None  # as last held; None where it cannot be read
     settings: Settings
     raw: dict[str, Any]  # the settings as they came
     conn_idle: int
@@ -88,10 +88,10 @@
     return host, int(port)
 
 
-def _known(raw: Any) -> Listing | None:
+def _known(raw: Any) -> EndpointList | None:
     """What was held last is a help, no more: discovery tells the list itself."""
     try:
-        return Listing({"index": 0, "snapshot": True, "endpoints": []} if raw is None else raw)
+        return EndpointList({"index": 0, "snapshot": True, "endpoints": []} if raw is None else raw)
     except ValueError as error:
         log.warning("known: not understood, asking for the whole list: %s", error)
         return None
@@ -140,7 +140,7 @@
     def __init__(
         self,
         engine: Engine,
-        maintenance: Maintenance,
+        maintenance: OperatorOverrides,
         config: Config,
         index: int | None,
         pass_on: Callable[[dict[str, Any]], None] | None = None,
@@ -222,7 +222,7 @@
             self._change = asyncio.get_running_loop().create_task(self._change_counter(config))
         self._config = config
 
-    def _listed(self, by: Discovery, listing: Listing) -> None:
+    def _listed(self, by: Discovery, listing: EndpointList) -> None:
         """One that has been left may still read a line before it is closed: only the one in force counts."""
         if by is self._next:
             self._discovery.stop()
@@ -236,7 +236,7 @@
                         "discovery": list(by.address),
                         "index": listing.index,
                         "after": after,
-                        "whole": listing.whole,
+                        "whole": listing.is_snapshot,
                         "packed": packed,
                     }
                 )
@@ -246,9 +246,9 @@
         """What another process of this ingress passes on, if it was told by the same discovery."""
         if tuple(change["discovery"]) == self._discovery.address:
             raw = {"index": int(change["index"]), "snapshot": bool(change["whole"]), "endpoints": []}
-            listing = Listing(raw)
+            listing = EndpointList(raw)
             listing.packed = {
-                str(name): Entry.unpacked(str(name), packed).packed()
+                str(name): EndpointEntry.unpacked(str(name), packed).packed()
                 for name, packed in change["packed"].items()
             }
             after = change["after"]
@@ -285,21 +285,23 @@
     """Everything together, what operators can ask of it, and its place beside another process of its kind."""
 
     def __init__(self, config: Config) -> None:
-        self._known: Listing | None = config.known  # until it has been taken in: a long one is not held twice
+        self._known: EndpointList | None = (
+            config.known
+        )  # until it has been taken in: a long one is not held twice
         self.config, self.clock = replace(config, known=None), Clock()
         clock = self.clock
         self._callers = CALLERS if config.admin else 0
-        self.sockets = sockets = Sockets(config.sockets, self._callers)
-        names, limits = Names(config.settings, config.raw), config.settings.limits
+        self.sockets = sockets = DescriptorBudget(config.sockets, self._callers)
+        names, limits = SettingsIndex(config.settings, config.raw), config.settings.limits
         loop, gateway = asyncio.get_running_loop(), Gateway(config.settings, config.seed)
-        self.trace = Trace.from_environment()
+        self.trace = EventLog.from_environment()
         self.engine = Engine(gateway, config.settings, names, loop, clock.now, self.trace)
-        self.room = room = Room(config.memory_mb)
+        self.room = room = MemoryBudget(config.memory_mb)
         size, wait = config.settings.fleet_size, limits.connect_timeout
-        self.backends = Backends(sockets.backends, config.conn_idle, wait, room, size, self.trace)
-        self.engine.servers = self.backends
-        self.maintenance = Maintenance(clock.now, self.engine.listed, self.engine.directory)
-        self.engine.put_back_at = self.maintenance.put_back_at
+        self.backends = UpstreamClient(sockets.backends, config.conn_idle, wait, room, size, self.trace)
+        self.engine.upstream = self.backends
+        self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, self.engine.directory)
+        self.engine.restored_at = self.maintenance.put_back_at
         self.listener = Listener(self.engine, sockets, clock.now, room)
         self.sources: Sources | None = None
         self.admin = Admin(self, self._callers)
@@ -307,7 +309,7 @@
         upgradable = config.inherited is not None and config.shared
         self.handover = Handover(self, config.shared) if upgradable else None
         self._leaving: asyncio.Task[None] | None = None
-        self._told: Listing | None = None  # by the process that this one takes over from
+        self._told: EndpointList | None = None  # by the process that this one takes over from
         self._changes: list[dict[str, Any]] = []  # of its list, until this one's sources are there
 
     async def start(self) -> None:
@@ -346,7 +348,7 @@
     async def stop(self) -> None:
         if self._leaving:
             self._leaving.cancel()
-        self.trace.event("process", "stopping", open=self.engine.open)
+        self.trace.event("process", "stopping", open=self.engine.in_flight)
         await _finish(self.engine, self.listener)
         if self.sources:
             self.sources.stop()
@@ -362,7 +364,7 @@
     async def _check_nothing_left(self) -> None:
         """Every request and connection has been ended: what still counts as open was leaked on the way."""
         counts: dict[str, Callable[[], int]] = {
-            "requests": lambda: self.engine.held,
+            "requests": lambda: self.engine.unfinished,
             "client connections": lambda: self.sockets.clients.open,
             "backend connections": lambda: self.sockets.backends.open,
             "bytes": lambda: self.room.held,
@@ -394,7 +396,7 @@
 
     def hand_over(self) -> dict[str, Any]:
         log.info("handover: another process accepts from now on")
-        self.trace.event("process", "handed over", open=self.engine.open)
+        self.trace.event("process", "handed over", open=self.engine.in_flight)
         self.listener.hand_over()
         self._leaving = asyncio.get_running_loop().create_task(self._leave())
         return self.engine.hand_over()
@@ -402,7 +404,7 @@
     async def _leave(self) -> None:
         """Stays for a while in any case: a successor may die of what its start did not show."""
         await asyncio.sleep(STAYS)
-        while self.engine.open or self.listener.connections:
+        while self.engine.in_flight or self.listener.connections:
             await asyncio.sleep(LOOK)
         log.info("handover: nothing is left")
         self.stopping.set()
@@ -489,9 +491,9 @@
         await asyncio.sleep(ACCEPTS_ON)
         await listener.take_line(end)
     listener.stop_listening()
-    while (engine.open or listener.connections) and loop.time() < end:
+    while (engine.in_flight or listener.connections) and loop.time() < end:
         await asyncio.sleep(LOOK)
-    engine.give_up()
+    engine.fail_all()
     while listener.connections and loop.time() < end + LAST_ANSWERS:
         listener.last_call()
         await asyncio.sleep(LOOK)
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -11,7 +11,7 @@
 import httptools
 
 from quota_ingress.net.acceptor import Acceptor, listening_socket
-from quota_ingress.net.http import HttpConnection, Message, Room
+from quota_ingress.net.http import HttpConnection, MemoryBudget, Message
 
 LIST_WAIT = 0.7  # s that a call waits at a start until the list and the bans in force are known
 READY = b"/control/ready"
@@ -130,7 +130,7 @@
 
 class Caller(HttpConnection):
     def __init__(self, admin: Admin) -> None:
-        super().__init__(httptools.HttpRequestParser, Room())
+        super().__init__(httptools.HttpRequestParser, MemoryBudget())
         self._admin = admin
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -38,7 +38,7 @@
         return self.open < self.most or self.evict()
 
 
-class Sockets:
+class DescriptorBudget:
     """The descriptors of the process, dealt out to the sides."""
 
     def __init__(self, limit: int, callers: int = 0) -> None:
--- a/quota_ingress/net/discovery/directory.py
+++ b/quota_ingress/net/discovery/directory.py
@@ -8,21 +8,21 @@
 import logging
 from collections.abc import Iterator, Mapping
 
-from quota_ingress.net.discovery.endpoint_list import REMOVED, UP, Entry, Listing
+from quota_ingress.net.discovery.endpoint_list import REMOVED, UP, EndpointEntry, EndpointList
 
 log = logging.getLogger(__name__)
 
 
-class Directory(Mapping[str, Entry]):
+class EndpointDirectory(Mapping[str, EndpointEntry]):
     """By name. A change costs as much as it changes."""
 
     def __init__(self) -> None:
         self.up = 0  # backends that take requests
         self._packed: dict[str, str] = {}
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: EndpointList) -> None:
         """Takes in a list or what changed of one. A whole list is this table's own from then on."""
-        if listing.whole:
+        if listing.is_snapshot:
             self._packed = listing.packed
             for name in [n for n, packed in self._packed.items() if packed[0] == REMOVED]:
                 del self._packed[name]
@@ -42,7 +42,7 @@
         """Whether it is listed and takes requests."""
         return self._packed.get(name, REMOVED)[0] == UP
 
-    def packed(self, entry: Entry) -> str:
+    def packed(self, entry: EndpointEntry) -> str:
         """The entry, packed: the same string as here, where it has not changed, so that a whole list that is
         told anew takes little beside this one.
         """
@@ -54,8 +54,8 @@
         """The entry, packed. KeyError if it is not listed."""
         return self._packed[name]
 
-    def __getitem__(self, name: str) -> Entry:
-        return Entry.unpacked(name, self._packed[name])
+    def __getitem__(self, name: str) -> EndpointEntry:
+        return EndpointEntry.unpacked(name, self._packed[name])
 
     def __contains__(self, name: object) -> bool:
         return name in self._packed
--- a/quota_ingress/net/discovery/endpoint_list.py
+++ b/quota_ingress/net/discovery/endpoint_list.py
@@ -29,10 +29,10 @@
 log = logging.getLogger(__name__)
 
 
-class Entry:
+class EndpointEntry:
     """A backend as discovery names it."""
 
-    __slots__ = ("address", "group", "kind", "name", "since_us", "status", "weight", "zone")
+    __slots__ = ("address", "group", "kind", "name", "started_us", "status", "weight", "zone")
 
     def __init__(self, raw: dict[str, Any]) -> None:
         self.name, self.status = str(raw["name"]), str(raw["status"])
@@ -46,30 +46,30 @@
             raise ValueError(f"port {port} is none")
         self.zone, self.kind = str(raw.get("zone", "")), str(raw.get("type", ""))
         self.group, self.weight = int(raw.get("group", 0)), float(raw.get("weight", 1.0))
-        self.since_us = round(float(raw.get("since_ms", 0)) * 1000)
+        self.started_us = round(float(raw.get("since_ms", 0)) * 1000)
         if not math.isfinite(self.weight):
             raise ValueError(f"weight {self.weight} is none")
 
-    def but(self, status: str | None = None, since_us: int | None = None) -> Entry:
+    def replaced(self, status: str | None = None, since_us: int | None = None) -> EndpointEntry:
         """The same backend, in another state or started at another moment."""
         other = copy.copy(self)
         other.status = self.status if status is None else status
-        other.since_us = self.since_us if since_us is None else since_us
+        other.started_us = self.started_us if since_us is None else since_us
         return other
 
     def packed(self) -> str:
         """All but the name in one string of some dozens of characters, its status first."""
         host, port = self.address
-        numbers = f"{port} {self.group} {self.weight!r} {self.since_us:x} {len(host)} {len(self.zone)}"
+        numbers = f"{port} {self.group} {self.weight!r} {self.started_us:x} {len(host)} {len(self.zone)}"
         return f"{self.status[0]}{numbers} {host}{self.zone}{self.kind}"
 
     @classmethod
-    def unpacked(cls, name: str, packed: str) -> Entry:
+    def unpacked(cls, name: str, packed: str) -> EndpointEntry:
         port, group, weight, since, host, zone, words = packed[1:].split(" ", 6)
         entry, at, to = cls.__new__(cls), int(host), int(host) + int(zone)
         entry.name, entry.status = name, STATUSES[packed[0]]
         entry.address, entry.zone, entry.kind = (words[:at], int(port)), words[at:to], words[to:]
-        entry.group, entry.weight, entry.since_us = int(group), float(weight), int(since, 16)
+        entry.group, entry.weight, entry.started_us = int(group), float(weight), int(since, 16)
         return entry
 
 
@@ -95,21 +95,21 @@
     return None if "status" in fields and "address" in fields else fields
 
 
-class Listing:
+class EndpointList:
     """The whole list, or what changed of it: packed entries by name."""
 
-    __slots__ = ("index", "packed", "whole")
+    __slots__ = ("index", "is_snapshot", "packed")
 
     def __init__(self, raw: Any) -> None:
         try:
-            self.index, self.whole = int(raw["index"]), bool(raw["snapshot"])
+            self.index, self.is_snapshot = int(raw["index"]), bool(raw["snapshot"])
             self._take(raw["endpoints"])
         except (KeyError, TypeError, AttributeError, OverflowError) as error:
             raise ValueError(f"list of backends: {error!r}") from None
 
     @property
-    def entries(self) -> list[Entry]:
-        return [Entry.unpacked(name, packed) for name, packed in self.packed.items()]
+    def entries(self) -> list[EndpointEntry]:
+        return [EndpointEntry.unpacked(name, packed) for name, packed in self.packed.items()]
 
     def _take(self, entries: Iterable[Any]) -> None:
         """Of a name told twice, the last counts."""
@@ -122,13 +122,15 @@
         _tell_of_twins(twins)
 
     @classmethod
-    def of(cls, index: int, whole: bool, entries: Iterable[Entry]) -> Listing:
+    def of(cls, index: int, whole: bool, entries: Iterable[EndpointEntry]) -> EndpointList:
         made = cls({"index": index, "snapshot": whole, "endpoints": []})
         made.packed = {entry.name: entry.packed() for entry in entries}
         return made
 
 
-Held = Callable[[Entry], str]  # packs an entry: to the string that is held already, if it has not changed
+Held = Callable[
+    [EndpointEntry], str
+]  # packs an entry: to the string that is held already, if it has not changed
 
 
 class Line(Enum):
@@ -166,7 +168,7 @@
             self._size += len(data)
             self._read_on()
 
-    def end(self, data: bytes) -> Listing | Line:
+    def end(self, data: bytes) -> EndpointList | Line:
         """The rest of a line, and its end."""
         if self._reader:
             blank = self._blank and not data.strip()
@@ -185,7 +187,7 @@
         if not self._lines and not line.strip():
             return Line.BEAT
         raw = self.add(line)
-        return Line.MORE if raw is None else Listing(raw)
+        return Line.MORE if raw is None else EndpointList(raw)
 
     def add(self, line: bytes) -> Any:
         """What the line completes, or None where more is to come."""
@@ -229,7 +231,7 @@
 
     def __init__(self, held: Held) -> None:
         self.done, self._held = False, held
-        self.listing: Listing
+        self.listing: EndpointList
         self._decoder = codecs.getincrementaldecoder("utf-8")("surrogatepass")
         self._text, self._at = "", 0
         self._new: list[str] = []
@@ -267,7 +269,7 @@
                 fields[name] = yield from self._value()
             if (yield from self._sign(",", "}")) == "}":
                 break
-        self.listing = Listing(fields)
+        self.listing = EndpointList(fields)
         if fields["endpoints"] == () and packed is not None:
             self.listing.packed = packed
         self.done = True
@@ -279,7 +281,7 @@
 
         def take(raw: Any) -> None:
             nonlocal twins
-            entry = Entry(raw)
+            entry = EndpointEntry(raw)
             twins += entry.name in packed
             packed[entry.name] = self._held(entry)
 
@@ -337,11 +339,11 @@
 
 
 def _packed(fields: dict[str, Any]) -> Packed:
-    entry = Entry(fields)
+    entry = EndpointEntry(fields)
     return Packed(entry.name, entry.packed())
 
 
-def _packed_anew(entry: Entry) -> str:
+def _packed_anew(entry: EndpointEntry) -> str:
     return entry.packed()
 
 
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -7,50 +7,52 @@
 from itertools import islice
 from typing import Any
 
-from quota_ingress.net.discovery.directory import Directory
-from quota_ingress.net.discovery.endpoint_list import REMOVED, Entry, Listing
+from quota_ingress.net.discovery.directory import EndpointDirectory
+from quota_ingress.net.discovery.endpoint_list import REMOVED, EndpointEntry, EndpointList
 from quota_ingress.policy.endpoint_list import ListKind
 
-Tell = Callable[[Listing, ListKind | None], None]
+Tell = Callable[[EndpointList, ListKind | None], None]
 GONE = 5000  # names removed last that operators may still call by: of the largest fleet those of six hours
 
 PART = 1000  # entries told to another process at a time
 
 
-class Maintenance:
+class OperatorOverrides:
     """The one place where the two meet: the module hears of an ordinary drain, and of an ordinary start."""
 
-    def __init__(self, now: Callable[[], int], tell: Tell, directory: Directory | None = None) -> None:
+    def __init__(
+        self, now: Callable[[], int], tell: Tell, directory: EndpointDirectory | None = None
+    ) -> None:
         """`directory`: the table into which `tell` takes what it is told; without one, it is kept here."""
         self.out: set[str] = set()
         self.back: dict[str, int] = {}  # when it was put back: it was restarted meanwhile, so it is cold
         self._since: dict[str, int] = {}  # the start that discovery told of these then; a later one counts
         self.index = 0
         self._now, self._tell, self._keeps = now, tell, directory is None
-        self._directory = Directory() if directory is None else directory
-        self._named: dict[str, Entry] = {}  # by operators, and listed: as discovery told last
+        self._directory = EndpointDirectory() if directory is None else directory
+        self._named: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
         self._gone: OrderedDict[str, None] = OrderedDict()
         self._coming: dict[str, str] = {}  # packed: told by the process that this one takes over from
 
     @property
-    def entries(self) -> Mapping[str, Entry]:
+    def entries(self) -> Mapping[str, EndpointEntry]:
         """The list as it is told on."""
         return self._directory
 
-    def listed(self, listing: Listing, kind: ListKind | None = None) -> None:
+    def listed(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """A change costs as much as it changes."""
         packed, directory = listing.packed, self._directory
         left: Iterable[str] = (n for n in packed if packed[n][0] == REMOVED)
-        if listing.whole:
+        if listing.is_snapshot:
             self._named.clear()
             left = [*left, *(n for n in directory if n not in packed)]
         for name in left:
             self._named.pop(name, None)
             self._remember(name)
-        few = packed.keys() & (self.out | self.back.keys()) if listing.whole else packed.keys()
+        few = packed.keys() & (self.out | self.back.keys()) if listing.is_snapshot else packed.keys()
         for name in few:
             if packed[name][0] != REMOVED and (name in self.out or name in self.back):
-                self._named[name] = Entry.unpacked(name, packed[name])
+                self._named[name] = EndpointEntry.unpacked(name, packed[name])
                 packed[name] = self._laid_over(self._named[name]).packed()
         self.index = listing.index
         self._pass_on(listing, kind)
@@ -70,17 +72,17 @@
     def take_part(self, part: dict[str, str]) -> None:
         """Some of the other process's list, before it is taken up."""
         for name, packed in part.items():
-            self._coming[name] = Entry.unpacked(name, packed).packed()
+            self._coming[name] = EndpointEntry.unpacked(name, packed).packed()
 
-    def take_up(self, told: dict[str, Any]) -> Listing:
+    def take_up(self, told: dict[str, Any]) -> EndpointList:
         """The other process's list, once what operators asked of it holds here, too. ValueError if some of
         the list is missing.
         """
         coming, self._coming = self._coming, {}
         if "listing" in told:  # by a process of an earlier version
-            listing = Listing(told["listing"])
+            listing = EndpointList(told["listing"])
         elif len(coming) == told["listed"]["count"]:
-            listing = Listing({"index": told["listed"]["index"], "snapshot": True, "endpoints": []})
+            listing = EndpointList({"index": told["listed"]["index"], "snapshot": True, "endpoints": []})
             listing.packed = coming
         else:
             raise ValueError(f"{len(coming)} backends of {told['listed']['count']}")
@@ -134,20 +136,20 @@
     def _changed(self, name: str) -> None:
         if name in self._directory:
             entry = self._named.setdefault(name, self._directory[name])
-            self._pass_on(Listing.of(self.index, False, [self._laid_over(entry)]), None)
+            self._pass_on(EndpointList.of(self.index, False, [self._laid_over(entry)]), None)
 
-    def _pass_on(self, listing: Listing, kind: ListKind | None) -> None:
+    def _pass_on(self, listing: EndpointList, kind: ListKind | None) -> None:
         if self._keeps:
             self._directory.take(listing)
         self._tell(listing, kind)
 
-    def _laid_over(self, entry: Entry) -> Entry:
+    def _laid_over(self, entry: EndpointEntry) -> EndpointEntry:
         """Moments of two clocks are never compared: what operators did counts until another start is told."""
         if entry.status == "up" and entry.name in self.out:
-            return entry.but(status="draining")
+            return entry.replaced(status="draining")
         if entry.name not in self.back:
             return entry
-        if self._since.setdefault(entry.name, entry.since_us) != entry.since_us:
+        if self._since.setdefault(entry.name, entry.started_us) != entry.started_us:
             del self.back[entry.name], self._since[entry.name]
             return entry
-        return entry.but(since_us=self.back[entry.name])
+        return entry.replaced(since_us=self.back[entry.name])
--- a/quota_ingress/net/discovery/watch.py
+++ b/quota_ingress/net/discovery/watch.py
@@ -10,10 +10,10 @@
 import httptools
 
 from quota_ingress.net.dial import dial
-from quota_ingress.net.discovery.directory import Directory
-from quota_ingress.net.discovery.endpoint_list import Document, Line, Listing
+from quota_ingress.net.discovery.directory import EndpointDirectory
+from quota_ingress.net.discovery.endpoint_list import Document, EndpointList, Line
 from quota_ingress.net.discovery.retry import CONNECT_TIMEOUT, IN_FORCE, SILENT, Ended, RetryPolicy
-from quota_ingress.net.event_log import Trace
+from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MAX_HEAD
 
 log = logging.getLogger(__name__)
@@ -26,18 +26,18 @@
         self,
         address: tuple[str, int],
         index: int | None,
-        changed: Callable[[Listing], None],
+        changed: Callable[[EndpointList], None],
         fleet_size: int = 1,
         within: float = IN_FORCE,
-        directory: Directory | None = None,
-        trace: Trace | None = None,
+        directory: EndpointDirectory | None = None,
+        trace: EventLog | None = None,
     ) -> None:
         """`within`: s in which the first list has to be told, where discovery has it and can be reached;
         `directory`: the list held, if it may be long.
         """
         self.address, self.index, self._changed = address, index, changed
         self.directory = directory
-        self._trace = trace or Trace()
+        self._trace = trace or EventLog()
         self._elsewhere = 0  # the version that the other process of an upgrade was told last, if it counts
         self.heard = asyncio.Event()  # set once a list has been told
         self.retry = RetryPolicy(fleet_size, within)
@@ -50,22 +50,22 @@
         if self._task:
             self._task.cancel()
 
-    def told_elsewhere(self, listing: Listing, after: int | None) -> None:
+    def told_elsewhere(self, listing: EndpointList, after: int | None) -> None:
         """The other process of an upgrade has been told this by the same discovery, a change on top of the
         version `after`. One that is not on top of what is held here would hide what lies between. The watch
         that is open here may yet tell it, and those before it: they are passed over then.
         """
         if self.index is None or listing.index <= self.index:
             return
-        if listing.whole or (after is not None and after <= self.index):
+        if listing.is_snapshot or (after is not None and after <= self.index):
             self.told(listing)
             self._elsewhere = listing.index
 
-    def told(self, listing: Listing) -> None:
-        if not listing.whole and listing.index <= self._elsewhere:
+    def told(self, listing: EndpointList) -> None:
+        if not listing.is_snapshot and listing.index <= self._elsewhere:
             return
         self._elsewhere = 0
-        kind = "whole list" if listing.whole else "change"
+        kind = "whole list" if listing.is_snapshot else "change"
         self._trace.event("discovery told", kind, index=listing.index, entries=len(listing.packed))
         self.index = listing.index
         self._changed(listing)
@@ -157,7 +157,7 @@
         read = self._document.end(end)
         if read is Line.MORE or (read is Line.BEAT and not self._watching):
             return
-        if isinstance(read, Listing):
+        if isinstance(read, EndpointList):
             self._discovery.told(read)
         self.heard = self._told = True
         self._discovery.retry.heard(self._last)
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -13,7 +13,7 @@
 
 from quota_ingress.net.descriptors import left, quiet_for, unread, unsent
 from quota_ingress.net.downstream.request_parser import BadRequest, head_of
-from quota_ingress.net.engine.attempts import Answer, Wanted
+from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
 from quota_ingress.net.http import (
     BUFFERED,
     KEPT_WHOLE,
@@ -79,7 +79,7 @@
         self._began = self._heard_at = 0
         self._waiting: deque[Message] = deque()  # behind the one in hand
         self._taken: Message | None = None  # in hand: its head is sound, its body may still be coming
-        self._wanted: Wanted | None = None
+        self._wanted: ParsedRequest | None = None
         self._current: bytes | None = None  # id of the request that the engine has
         self._answer: Body | None = None  # that is being passed on
         self._at = 0  # how far
@@ -120,7 +120,7 @@
             self._answer = None
         if self._current is not None:
             current, self._current = self._current, None
-            self._engine.client_gone(current)
+            self._engine.on_disconnect(current)
 
     def _let_go(self) -> None:
         """Of all that came: nobody will read it."""
@@ -232,7 +232,7 @@
             return
         if self._current is not None:  # its body was being passed on
             current, self._current = self._current, None
-            self._engine.client_gone(current)
+            self._engine.on_disconnect(current)
         if not self.transport.is_closing() and self not in self._listener.lingering:
             self._write(status, b"", b"not understood\n")
 
@@ -304,7 +304,7 @@
             self._write(200 if up else 503, b"", b"up\n" if up else b"leaving\n")
             return
         if self._crowded:
-            self.refuse(self._engine.settings.limits.max_retry_after, status=503)
+            self.reject(self._engine.settings.limits.max_retry_after, status=503)
             return
         try:
             self._wanted = self._listener.requests.read(message)
@@ -327,7 +327,7 @@
         if self._current is not None:
             body.grew()
             if body.whole:
-                self._engine.body_came(self._current, message.completed_at)
+                self._engine.on_body_complete(self._current, message.completed_at)
             return
         kept = body.came <= BUFFERED or (body.came <= KEPT_WHOLE and not body.room.full)
         if wanted is None or (not body.whole and kept):
@@ -335,33 +335,33 @@
         if left(self.transport):  # while this waited: in the listener's line, or behind another request
             self.abort(CloseReason.CLIENT_LEFT)
             return
-        wanted.came = message.completed_at if body.whole else now
+        wanted.received_at = message.completed_at if body.whole else now
         if late:  # its length is known now
             wanted.head = head_of(message, wanted.id)
         elif not body.whole:
             body.eased = self._ease
         self._current = wanted.id
-        if not self._engine.arrived(wanted, self):
+        if not self._engine.on_request(wanted, self):
             self._write(409, b"", b"a request with this Request-Id is under way\n")
 
     def eof_received(self) -> None:
         """It is gone now: the connection's own end may have to wait for what the client does not read."""
         if self._current is not None:
             current, self._current = self._current, None
-            self._engine.client_gone(current)
+            self._engine.on_disconnect(current)
 
     # The engine's answers.
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the client has left, by what the socket tells now."""
         return self.transport.is_closing() or left(self.transport)
 
-    def serve(self, answer: Answer) -> None:
+    def respond(self, answer: AttemptResult) -> None:
         """A backend's answer, held whole."""
         kind = b"Content-Type: %b\r\n" % answer.content_type if answer.content_type else b""
-        self._write(200, kind, answer.body, answer.told_length)
+        self._write(200, kind, answer.body, answer.declared_length)
 
-    def stream(self, answer: Answer) -> None:
+    def stream_response(self, answer: AttemptResult) -> None:
         """An answer too long to be held: passed on as it comes, and as the client reads it."""
         assert answer.stream is not None
         self._answer, self._at = answer.stream, 0
@@ -396,7 +396,7 @@
                 body.release()
                 self._end()
 
-    def refuse(self, retry_after: int, status: int = 429) -> None:
+    def reject(self, retry_after: int, status: int = 429) -> None:
         """`retry_after`: us, 0 for no advice."""
         advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
         self._write(status, advice, b"refused\n")
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 
 from quota_ingress.net.acceptor import Acceptor, listening_socket
-from quota_ingress.net.descriptors import Sockets
+from quota_ingress.net.descriptors import DescriptorBudget
 from quota_ingress.net.downstream.connection import HALF_SENT, ClientConnection, CloseReason
 from quota_ingress.net.downstream.request_parser import RequestReader
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.send_rules import HELD_UP
-from quota_ingress.net.http import Room
+from quota_ingress.net.http import MemoryBudget
 
 LINGERS = 1.0  # s that a client may go on sending after an early answer, so that it comes to read that
 QUIET = 0.25  # s of silence after which an idle connection is closed in a drain: it has surely been answered
@@ -29,9 +29,13 @@
     """What all client connections share."""
 
     def __init__(
-        self, engine: Engine, sockets: Sockets, now: Callable[[], int], room: Room | None = None
+        self,
+        engine: Engine,
+        sockets: DescriptorBudget,
+        now: Callable[[], int],
+        room: MemoryBudget | None = None,
     ) -> None:
-        self.room = room or Room()
+        self.room = room or MemoryBudget()
         self.engine, self.share, self.top, self.now = engine, sockets.clients, sockets.top, now
         self.requests = RequestReader(engine.settings, engine.names)
         self.stopping = False  # for good, at SIGTERM
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -4,8 +4,8 @@
 
 import re
 
-from quota_ingress.net.engine.attempts import Wanted
-from quota_ingress.net.engine.names import Names
+from quota_ingress.net.engine.attempts import ParsedRequest
+from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.net.http import Message
 from quota_ingress.policy.settings import Idempotency, Settings
 
@@ -30,14 +30,14 @@
 class RequestReader:
     """Reads requests by the settings. Nothing of an unsound one reaches the module or a backend."""
 
-    def __init__(self, settings: Settings, names: Names) -> None:
+    def __init__(self, settings: Settings, names: SettingsIndex) -> None:
         self.names, self.settings = names, settings
         self._methods = [
             b"GET" if c.idempotency is Idempotency.IDEMPOTENT else b"POST" for c in settings.classes
         ]
         self._keyed = [c.idempotency is Idempotency.WITH_KEY for c in settings.classes]
 
-    def read(self, message: Message) -> Wanted:
+    def read(self, message: Message) -> ParsedRequest:
         """The client's request, or BadRequest: a plain 4xx tells the client what is wrong with it."""
         headers, names = message.headers, self.names
         if message.method not in (b"GET", b"HEAD", b"POST"):
@@ -70,7 +70,9 @@
         units, spread, first = self._quota(headers.get(b"x-quota", b""), plan)
         retry = headers.get(b"client-retry") == b"1"
         head = head_of(message, id)
-        return Wanted(id, cls, plan, customer, units, spread, first, timeout, 0, retry, head, message.body)
+        return ParsedRequest(
+            id, cls, plan, customer, units, spread, first, timeout, 0, retry, head, message.body
+        )
 
     def _timeout(self, text: bytes, cls: int) -> int:
         wait, deadline = TIMEOUT.fullmatch(text), self.settings.classes[cls].deadline
--- a/quota_ingress/net/engine/attempts.py
+++ b/quota_ingress/net/engine/attempts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from quota_ingress.net.discovery.endpoint_list import Entry
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry
 from quota_ingress.net.http import Body
 from quota_ingress.policy.events import NEVER_RAN, Outcome
 
@@ -38,44 +38,44 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class AttemptResult:
     """How an attempt ended: for OK, with the backend's body."""
 
     outcome: Outcome
     body: bytes = b""
     content_type: bytes = b""
     load: bytes = b""
-    told_length: bytes = b""  # as the backend's head has it
+    declared_length: bytes = b""  # as the backend's head has it
     stream: Body | None = None  # the body, where it is too long to be held, as it comes
 
 
-class Servers(Protocol):
+class Upstream(Protocol):
     """The connections to backends."""
 
-    def know(self, entry: Entry, backend: int) -> None:
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
         """Takes in an entry, before the module hears of it."""
 
-    def settle(self, gone: Iterable[int]) -> None:
+    def reconcile(self, gone: Iterable[int]) -> None:
         """Closes and withdraws what the entries taken in have made void, and forgets those gone."""
 
     def send(
         self,
         backend: int,
         head: bytes,
-        ended: Callable[[Answer], None],
+        ended: Callable[[AttemptResult], None],
         once: bool = False,
         body: Body | None = None,
-        started: Callable[[Answer], None] | None = None,
+        started: Callable[[AttemptResult], None] | None = None,
         permit: Callable[[], bytes | None] = ...,
     ) -> Exchange:
         """`permit` is asked in the moment of the write, and tells the rest of the data, which depends on it;
         None: the attempt may not begin any more, and ends as MOOT.
         """
 
-    def probe(self, backend: int, ended: Callable[[Answer], None]) -> None:
+    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None:
         """Asks a backend how it is."""
 
-    def close_idle(self, backend: int) -> None:
+    def close_idle_connections(self, backend: int) -> None:
         """Closes the connections to it that rest."""
 
 
@@ -92,16 +92,16 @@
 class Client(Protocol):
     """Who waits for a request's one answer."""
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether it has left, told by the socket itself: its end may be unread as yet."""
 
-    def serve(self, answer: Answer) -> None:
+    def respond(self, answer: AttemptResult) -> None:
         """The whole answer of a backend."""
 
-    def stream(self, answer: Answer) -> None:
+    def stream_response(self, answer: AttemptResult) -> None:
         """The answer has begun, and goes on as its body comes; it may yet break."""
 
-    def refuse(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """A refusal: to try again, after so many us, is harmless."""
 
     def fail(self, timed_out: bool) -> None:
@@ -109,18 +109,18 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class ParsedRequest:
     """A client's request, read and found sound."""
 
     id: bytes
-    cls: int
+    request_class: int
     plan: int
     customer: int
     units: float
-    spread: int
-    first: int
+    gateway_count: int
+    first_gateway: int
     timeout: int  # us
-    came: int  # the clock when its last byte came to this machine; void while the body is still coming
+    received_at: int  # the clock when its last byte came to this machine; void while the body is still coming
     is_retry: bool
     head: bytes  # what goes on to a backend, but for the time left
     body: Body
@@ -129,13 +129,23 @@
 class Attempt:
     """One attempt of a request at a backend. Moments are us of the process's clock."""
 
-    __slots__ = ("backend", "ended", "exchange", "latency", "number", "outcome", "sent", "timer", "wait")
+    __slots__ = (
+        "backend",
+        "ended",
+        "exchange",
+        "latency",
+        "number",
+        "outcome",
+        "response_timeout",
+        "sent_at",
+        "timer",
+    )
 
     def __init__(self, number: int, backend: int, sent: int) -> None:
-        self.number, self.backend, self.sent, self.ended = number, backend, sent, False
+        self.number, self.backend, self.sent_at, self.ended = number, backend, sent, False
         self.exchange: Exchange | None = None
         self.timer: Timer | None = None
-        self.wait = 0  # us for an answer, once the request's last byte is on its way
+        self.response_timeout = 0  # us for an answer, once the request's last byte is on its way
         self.latency = -1  # us until its answer began, where that is passed on as it comes
         self.outcome: Outcome | None = None  # once it has ended
 
@@ -150,21 +160,31 @@
 class Request:
     """A client's request from its arrival until all of its attempts have ended. Moments are us."""
 
-    __slots__ = ("attempts", "client", "deadline", "number", "out", "over", "timer", "wanted", "whole_at")
-
-    def __init__(self, number: int, wanted: Wanted, client: Client, deadline: int) -> None:
-        self.number, self.wanted, self.client, self.deadline = number, wanted, client, deadline
-        self.over, self.out = False, 0
-        self.whole_at: int | None = None  # None: its body is still coming, and no time runs
+    __slots__ = (
+        "answered",
+        "attempts",
+        "attempts_in_flight",
+        "body_complete_at",
+        "client",
+        "deadline",
+        "number",
+        "parsed",
+        "timer",
+    )
+
+    def __init__(self, number: int, wanted: ParsedRequest, client: Client, deadline: int) -> None:
+        self.number, self.parsed, self.client, self.deadline = number, wanted, client, deadline
+        self.answered, self.attempts_in_flight = False, 0
+        self.body_complete_at: int | None = None  # None: its body is still coming, and no time runs
         self.attempts: list[Attempt] = []
         self.timer: Timer | None = None
 
     @property
     def body_coming(self) -> bool:
         """Its last byte has not come."""
-        return self.whole_at is None
+        return self.body_complete_at is None
 
     @property
-    def body_passed_on(self) -> bool:
+    def body_forwarded(self) -> bool:
         """Some of its body has gone to a backend and is not held any more."""
-        return self.wanted.body.gone > 0
+        return self.parsed.body.gone > 0
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -10,23 +10,23 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from quota_ingress.net.discovery.directory import Directory
-from quota_ingress.net.discovery.endpoint_list import Entry, Listing
+from quota_ingress.net.discovery.directory import EndpointDirectory
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.discovery.start_times import StartTimes, reserve
 from quota_ingress.net.engine import snapshot_codec
 from quota_ingress.net.engine.attempts import (
-    Answer,
     Attempt,
+    AttemptResult,
     Client,
     CounterClient,
     Loop,
+    ParsedRequest,
     Request,
-    Servers,
-    Wanted,
+    Upstream,
 )
-from quota_ingress.net.engine.names import Names
+from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.net.engine.send_rules import FORESEEABLE, Denial, denial
-from quota_ingress.net.event_log import Trace
+from quota_ingress.net.event_log import EventLog
 from quota_ingress.policy.actions import (
     Action,
     AddToCounter,
@@ -82,16 +82,16 @@
         self,
         gateway: Decider,
         settings: Settings,
-        names: Names,
+        names: SettingsIndex,
         loop: Loop,
         now: Callable[[], int],
-        trace: Trace | None = None,
+        trace: EventLog | None = None,
     ) -> None:
         self.settings, self.names, self.now = settings, names, now
-        self.trace = trace or Trace()
-        self.servers: Servers
+        self.trace = trace or EventLog()
+        self.upstream: Upstream
         self.counter: CounterClient | None = None
-        self.open = 0  # requests not yet answered
+        self.in_flight = 0  # requests not yet answered
         self.ending = False  # the process is: what comes now is refused, as no answer would come in time
         self._gateway, self._loop = gateway, loop
         self._requests: dict[int, Request] = {}
@@ -99,8 +99,8 @@
         self._next = 0
         self._past: deque[tuple[int, bytes]] = deque()  # ids that have ended of late: still not new
         self._longest = max(c.deadline for c in settings.classes)
-        self.directory = Directory()
-        self.put_back_at: Callable[[str], int] = lambda name: 0  # us, by operators; 0: it has not been
+        self.directory = EndpointDirectory()
+        self.restored_at: Callable[[str], int] = lambda name: 0  # us, by operators; 0: it has not been
         self._starts = StartTimes(reserve(settings.safety))
         self._subset = deal(
             settings.gateway_index, settings.fleet_size, 0
@@ -113,35 +113,35 @@
 
     # What the other files tell.
 
-    def arrived(self, wanted: Wanted, client: Client) -> bool:
+    def on_request(self, wanted: ParsedRequest, client: Client) -> bool:
         """False if a request with this id is still alive, or was of late."""
         now = self.now()
         while self._past and self._past[0][0] < now - self._longest:
             del self._ids[self._past.popleft()[1]]
         if wanted.id in self._ids:
             return False
-        left = wanted.timeout - (now - wanted.came if wanted.body.whole else 0)
+        left = wanted.timeout - (now - wanted.received_at if wanted.body.whole else 0)
         if unheard := self._refused_unheard(left):
             self.trace.event("refused", unheard, id=wanted.id, left_us=left)
-            client.refuse(0)  # nothing was sent: harmless, and the module never hears of it
+            client.reject(0)  # nothing was sent: harmless, and the module never hears of it
             return True
-        self.trace.event("arrived", id=wanted.id, left_us=left, waited_us=now - wanted.came)
+        self.trace.event("arrived", id=wanted.id, left_us=left, waited_us=now - wanted.received_at)
         self._next += 1
         request = Request(self._next, wanted, client, now + left)
         self._requests[request.number], self._ids[wanted.id] = request, request.number
-        self.open += 1
+        self.in_flight += 1
         if wanted.body.whole:
             self._run(request, now)
         self._post(
             RequestArrived(
                 request.number,
-                wanted.cls,
+                wanted.request_class,
                 wanted.plan,
                 wanted.customer,
                 wanted.units,
                 left,
-                wanted.first,
-                wanted.spread,
+                wanted.first_gateway,
+                wanted.gateway_count,
                 wanted.is_retry,
             )
         )
@@ -153,79 +153,81 @@
             return "process ending"
         if left <= ANSWER_MARGIN:
             return "no time left"
-        return "too many open" if 0 < self.settings.limits.max_in_flight <= self.open else ""
+        return "too many open" if 0 < self.settings.limits.max_in_flight <= self.in_flight else ""
 
-    def body_came(self, id: bytes, came: int) -> None:
+    def on_body_complete(self, id: bytes, came: int) -> None:
         """The last byte of a body that was handed on as it came, at the moment `came` (us)."""
         request, now = self._requests.get(self._ids.get(id, 0)), self.now()
-        if request and not request.over and request.whole_at is None:
-            request.deadline = came + request.wanted.timeout
+        if request and not request.answered and request.body_complete_at is None:
+            request.deadline = came + request.parsed.timeout
             self._run(request, now)
             for attempt in request.attempts:
                 if not attempt.ended:
                     self._wait(request, attempt)
 
     def _run(self, request: Request, now: int) -> None:
-        request.whole_at = now
+        request.body_complete_at = now
         left = request.deadline - now - ANSWER_MARGIN
         request.timer = self._loop.call_later(left / 1e6, self._overdue, request)
 
-    def client_gone(self, id: bytes) -> None:
+    def on_disconnect(self, id: bytes) -> None:
         """The client of that request has left."""
         request = self._requests.get(self._ids.get(id, 0))
-        if request and not request.over:
+        if request and not request.answered:
             self._leave(request)
         elif request:  # an answer that is passed on has no reader any more
             for attempt in [a for a in request.attempts if a.latency >= 0 and not a.ended]:
                 if attempt.exchange:
                     attempt.exchange.abort()
-                self._ended(request, attempt, Answer(Outcome.CANCELLED))
+                self._ended(request, attempt, AttemptResult(Outcome.CANCELLED))
 
     def _leave(self, request: Request) -> None:
-        self.trace.event("ended", "client gone", id=request.wanted.id)
+        self.trace.event("ended", "client gone", id=request.parsed.id)
         self._close(request)
         for attempt in [a for a in request.attempts if not a.ended]:  # no cancelling: never written
             if attempt.exchange and attempt.exchange.withdraw():
-                self._ended(request, attempt, Answer(Outcome.NOT_SENT))
+                self._ended(request, attempt, AttemptResult(Outcome.NOT_SENT))
         self._post(ClientDisconnected(request.number))
 
     def _gone(self, request: Request) -> bool:
         """Asked at the moment an attempt begins: none does once the client has left, though the loop may be
         late to read its end, or does not read on while enough waits. A look costs a microsecond.
         """
-        if not request.over and request.client.gone():
+        if not request.answered and request.client.disconnected():
             self._leave(request)
-        return request.over
+        return request.answered
 
-    def listed(self, listing: Listing, kind: ListKind | None = None) -> None:
+    def update_endpoints(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """The module hears first, then attempts are withdrawn: what it sends anew goes by the new list."""
-        kind = kind or (ListKind.FULL if listing.whole else ListKind.DELTA)
+        kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
         self.directory.take(listing)
         before = self._subset
         self._subset = deal(self.settings.gateway_index, self.settings.fleet_size, self.directory.up, before)
         changed: Iterable[str] = listing.packed
-        if listing.whole:
+        if listing.is_snapshot:
             changed = [*self.directory, *(n for n in self._backends if n not in self.directory)]
-        found: list[tuple[Entry, int]] = []
+        found: list[tuple[EndpointEntry, int]] = []
         gone: list[int] = []
         for name in changed:
             self._tell(name, found, gone)
-        if self._subset != before and not listing.whole:  # dealt anew: some come in by it, and some leave
+        if (
+            self._subset != before and not listing.is_snapshot
+        ):  # dealt anew: some come in by it, and some leave
             for name in [n for n in self.directory if self._holds(n) != (n in self._backends)]:
                 self._tell(name, found, gone)
         now = self.now()
         older: set[str] = set()  # than they counted for, as a later start has been told
         for entry, _ in found:
-            if entry.since_us != self.put_back_at(entry.name):
-                older.update(self._starts.observe(entry.since_us, now))
+            if entry.started_us != self.restored_at(entry.name):
+                older.update(self._starts.observe(entry.started_us, now))
         older -= {entry.name for entry, _ in found}
         found += [(self.directory[name], self._backends[name]) for name in older if name in self._backends]
         listed = [self._listed_backend(entry, number, now) for entry, number in found]
-        if not listing.whole:
+        if not listing.is_snapshot:
             listed += [ListedEndpoint(n, EndpointState.REMOVED, 0, 0, 0, 1.0, 0) for n in gone]
         ready = self.directory.up if self._subset.held > 1 else 0
         self._events.append(EndpointsListed(kind, listing.index, tuple(listed), ready))
-        self.servers.settle(gone)
+        self.upstream.reconcile(gone)
         self._drain()
 
     def _holds(self, name: str) -> bool:
@@ -234,14 +236,14 @@
             return False
         return self._subset.held == 1 or name in self._backends or self.directory.is_up(name)
 
-    def _tell(self, name: str, found: list[tuple[Entry, int]], gone: list[int]) -> None:
+    def _tell(self, name: str, found: list[tuple[EndpointEntry, int]], gone: list[int]) -> None:
         if self._holds(name):
             if name not in self._backends:
                 self._numbers += 1
                 self._backends[name] = self._numbers
             entry, number = self.directory[name], self._backends[name]
             found.append((entry, number))
-            self.servers.know(entry, number)
+            self.upstream.register_endpoint(entry, number)
             (self._up.add if entry.status == "up" else self._up.discard)(name)
         elif number := self._backends.pop(name, 0):
             gone.append(number)
@@ -263,7 +265,7 @@
         self._gateway.restore(snapshot)
 
     @property
-    def held(self) -> int:
+    def unfinished(self) -> int:
         """Requests that are not forgotten: not answered, or with an attempt still out."""
         return len(self._requests)
 
@@ -272,7 +274,7 @@
         """Some backend would take a request."""
         return bool(self._up)
 
-    def give_up(self) -> None:
+    def fail_all(self) -> None:
         """Fails all that is open, and takes nothing in any more: the process is about to end."""
         self.ending = True
         for request in list(self._requests.values()):
@@ -308,13 +310,13 @@
                 self._send(number, backend, timeout)
             case Reject(number, retry_after):
                 if request := self._open(number):
-                    self.trace.event("ended", "refused", id=request.wanted.id, retry_after_us=retry_after)
+                    self.trace.event("ended", "refused", id=request.parsed.id, retry_after_us=retry_after)
                     self._close(request)
-                    request.client.refuse(retry_after if self.settings.limits.sends_retry_after else 0)
+                    request.client.reject(retry_after if self.settings.limits.sends_retry_after else 0)
                     self._forget(number)  # no event of its own need follow
             case Fail(number):
                 if request := self._open(number):
-                    self.trace.event("ended", "failed", id=request.wanted.id)
+                    self.trace.event("ended", "failed", id=request.parsed.id)
                     self._close(request)
                     request.client.fail(timed_out=False)
                     self._forget(number)
@@ -327,7 +329,7 @@
             case Probe(backend):
                 self._probe(backend)
             case CloseIdleConnections(backend):
-                self.servers.close_idle(backend)
+                self.upstream.close_idle_connections(backend)
             case Log(text):
                 log.info("%s", text)
             case _:  # the watch is always on, and real ingresses have no peers to tell
@@ -335,30 +337,30 @@
 
     def _open(self, number: int) -> Request | None:
         request = self._requests.get(number)
-        return None if request is None or request.over else request
+        return None if request is None or request.answered else request
 
     def _close(self, request: Request) -> None:
-        request.over = True
+        request.answered = True
         if request.timer:
             request.timer.cancel()
-        if request.whole_at is None:  # what its attempts wait for will not come
+        if request.body_complete_at is None:  # what its attempts wait for will not come
             for attempt in [a for a in request.attempts if a.latency < 0 and not a.ended]:
                 if attempt.exchange:
                     attempt.exchange.abort()
-                    self._ended(request, attempt, Answer(Outcome.CANCELLED))
-        self.open -= 1
+                    self._ended(request, attempt, AttemptResult(Outcome.CANCELLED))
+        self.in_flight -= 1
 
     def _forget(self, number: int) -> None:
         """The id is free again a while after nothing of the request is under way."""
         request = self._requests.get(number)
-        if request and request.over and request.out == 0:
+        if request and request.answered and request.attempts_in_flight == 0:
             del self._requests[number]
-            self._past.append((self.now(), request.wanted.id))
+            self._past.append((self.now(), request.parsed.id))
 
     def _overdue(self, request: Request) -> None:
-        if not request.over:
+        if not request.answered:
             reason = "process ending" if self.ending else "out of time"
-            self.trace.event("ended", reason, id=request.wanted.id)
+            self.trace.event("ended", reason, id=request.parsed.id)
             self._close(request)
             request.client.fail(timed_out=True)
             self._post(ClientDisconnected(request.number))
@@ -372,22 +374,22 @@
             self._events.append(AttemptEnded(number, 0, backend, Outcome.NOT_SENT, 0, True))
             return
         self._gone(request)
-        wanted, coming = request.wanted, request.body_coming
+        wanted, coming = request.parsed, request.body_coming
         left = (wanted.timeout if coming else request.deadline - now) - LAST_ATTEMPT
         request.attempts.append(attempt)
-        request.out += 1
-        attempt.wait = min(timeout, left) if timeout else left
+        request.attempts_in_flight += 1
+        attempt.response_timeout = min(timeout, left) if timeout else left
         if self._denied(request, attempt, now):
-            self._ended(request, attempt, Answer(Outcome.NOT_SENT))
+            self._ended(request, attempt, AttemptResult(Outcome.NOT_SENT))
             return
         if not coming:
             self._wait(request, attempt)
         held = wanted.body.whole and not wanted.body.long
-        attempt.exchange = self.servers.send(
+        attempt.exchange = self.upstream.send(
             backend,
             wanted.head,
             lambda answer: self._ended(request, attempt, answer),
-            self.settings.classes[wanted.cls].idempotency is Idempotency.NOT_IDEMPOTENT,
+            self.settings.classes[wanted.request_class].idempotency is Idempotency.NOT_IDEMPOTENT,
             None if held else wanted.body,
             lambda answer: self._started(request, attempt, answer),
             lambda: self._permitted(request, attempt),
@@ -397,56 +399,62 @@
         """What is written behind the head: the time that the backend has from now on, and a body that is
         held. None if the attempt may not begin any more.
         """
-        now, body = self.now(), request.wanted.body
+        now, body = self.now(), request.parsed.body
         self._gone(request)
         if self._denied(request, attempt, now):
             return None
-        left = attempt.wait - (0 if request.body_coming else now - attempt.sent)
+        left = attempt.response_timeout - (0 if request.body_coming else now - attempt.sent_at)
         number, backend = attempt.number, attempt.backend
-        self.trace.event("attempt", "begun", id=request.wanted.id, n=number, backend=backend, told_us=left)
+        self.trace.event("attempt", "begun", id=request.parsed.id, n=number, backend=backend, told_us=left)
         held = bytes(body.data) if body.whole and not body.long else b""
         return b"Request-Timeout: %dm\r\n\r\n%b" % (max(1, left // 1000), held)
 
     def _denied(self, request: Request, attempt: Attempt, now: int) -> bool:
-        until = now + attempt.wait if request.body_coming else attempt.sent + attempt.wait
-        cls, limits = self.settings.classes[request.wanted.cls], self.settings.limits
+        until = (
+            now + attempt.response_timeout
+            if request.body_coming
+            else attempt.sent_at + attempt.response_timeout
+        )
+        cls, limits = self.settings.classes[request.parsed.request_class], self.settings.limits
         reason = denial(request, attempt, cls, limits, now, until)
-        if reason is Denial.REQUEST_OVER and request.client.gone():
+        if reason is Denial.REQUEST_OVER and request.client.disconnected():
             reason = Denial.CLIENT_GONE
         if reason in FORESEEABLE:
-            self.trace.violation(f"attempt: {reason.value}", id=request.wanted.id, n=attempt.number)
+            self.trace.violation(f"attempt: {reason.value}", id=request.parsed.id, n=attempt.number)
         if reason:
-            self.trace.event("denied", reason.value, id=request.wanted.id, n=attempt.number)
+            self.trace.event("denied", reason.value, id=request.parsed.id, n=attempt.number)
         return reason is not None
 
     def _wait(self, request: Request, attempt: Attempt) -> None:
-        attempt.timer = self._loop.call_later(attempt.wait / 1e6, self._timed_out, request, attempt)
+        attempt.timer = self._loop.call_later(
+            attempt.response_timeout / 1e6, self._timed_out, request, attempt
+        )
 
     def _latency(self, request: Request, attempt: Attempt) -> int:
         """Of the backend's own work: it begins with the request's last byte."""
-        return max(0, self.now() - max(attempt.sent, request.whole_at or attempt.sent))
+        return max(0, self.now() - max(attempt.sent_at, request.body_complete_at or attempt.sent_at))
 
-    def _started(self, request: Request, attempt: Attempt, answer: Answer) -> None:
+    def _started(self, request: Request, attempt: Attempt, answer: AttemptResult) -> None:
         """From here on no other attempt can answer, and no deadline holds."""
         if attempt.timer:
             attempt.timer.cancel()
-        if request.over or attempt.ended:
+        if request.answered or attempt.ended:
             if answer.stream:
                 answer.stream.release()  # there is nobody to pass it on
             if attempt.exchange:
                 attempt.exchange.abort()
-            self._ended(request, attempt, Answer(Outcome.CANCELLED))
+            self._ended(request, attempt, AttemptResult(Outcome.CANCELLED))
             return
         attempt.latency = self._latency(request, attempt)
-        self.trace.event("ended", "served", id=request.wanted.id)
+        self.trace.event("ended", "served", id=request.parsed.id)
         self._close(request)
         self._post(StreamStarted(request.number, attempt.number, attempt.backend, attempt.latency))
-        request.client.stream(answer)
+        request.client.stream_response(answer)
 
     def _timed_out(self, request: Request, attempt: Attempt) -> None:
         if not attempt.ended and attempt.exchange:
             ran = attempt.exchange.abort()
-            self._ended(request, attempt, Answer(Outcome.TIMEOUT if ran else Outcome.CONNECT_FAILED))
+            self._ended(request, attempt, AttemptResult(Outcome.TIMEOUT if ran else Outcome.CONNECT_FAILED))
 
     def _cancel(self, number: int, index: int) -> None:
         request = self._requests.get(number)
@@ -454,24 +462,26 @@
             attempt = request.attempts[index]
             if not attempt.ended and attempt.exchange:
                 ran = attempt.exchange.abort()
-                self._ended(request, attempt, Answer(Outcome.CANCELLED if ran else Outcome.CONNECT_FAILED))
+                self._ended(
+                    request, attempt, AttemptResult(Outcome.CANCELLED if ran else Outcome.CONNECT_FAILED)
+                )
 
-    def _ended(self, request: Request, attempt: Attempt, answer: Answer) -> None:
+    def _ended(self, request: Request, attempt: Attempt, answer: AttemptResult) -> None:
         if attempt.ended:
             return
         attempt.ended, attempt.exchange, attempt.outcome = True, None, answer.outcome
-        request.out -= 1
-        self.trace.event("attempt", answer.outcome.value, id=request.wanted.id, n=attempt.number)
+        request.attempts_in_flight -= 1
+        self.trace.event("attempt", answer.outcome.value, id=request.parsed.id, n=attempt.number)
         if attempt.timer:
             attempt.timer.cancel()
-        if answer.outcome is Outcome.OK and not request.over and attempt.latency < 0:
-            self.trace.event("ended", "served", id=request.wanted.id)
+        if answer.outcome is Outcome.OK and not request.answered and attempt.latency < 0:
+            self.trace.event("ended", "served", id=request.parsed.id)
             self._close(request)
-            request.client.serve(answer)
+            request.client.respond(answer)
         load = self.names.load(answer.load) if answer.load else ()
         latency = attempt.latency if attempt.latency >= 0 else self._latency(request, attempt)
         event = AttemptEnded(
-            request.number, attempt.number, attempt.backend, answer.outcome, latency, request.over, load
+            request.number, attempt.number, attempt.backend, answer.outcome, latency, request.answered, load
         )
         self._post(event)
 
@@ -494,17 +504,17 @@
     def _probe(self, backend: int) -> None:
         sent = self.now()
 
-        def ended(answer: Answer) -> None:
+        def ended(answer: AttemptResult) -> None:
             load = self.names.load(answer.load) if answer.load else ()
             self._post(ProbeAnswered(backend, answer.outcome, self.now() - sent, load))
 
-        self.servers.probe(backend, ended)
+        self.upstream.probe(backend, ended)
 
-    def _listed_backend(self, entry: Entry, number: int, now: int) -> ListedEndpoint:
+    def _listed_backend(self, entry: EndpointEntry, number: int, now: int) -> ListedEndpoint:
         zone, kind = self.names.zones.get(entry.zone, 0), self.names.kinds.get(entry.kind, 0)
-        started = entry.since_us  # of this process's clock already, where operators put it back
-        if started != self.put_back_at(entry.name):
-            started = self._starts.local(entry.name, entry.since_us, now)
+        started = entry.started_us  # of this process's clock already, where operators put it back
+        if started != self.restored_at(entry.name):
+            started = self._starts.local(entry.name, entry.started_us, now)
         return ListedEndpoint(
             number, STATES[entry.status], zone, entry.group, kind, entry.weight, started, _mark(entry.name)
         )
--- a/quota_ingress/net/engine/names.py
+++ b/quota_ingress/net/engine/names.py
@@ -11,7 +11,7 @@
 MOST_LOAD = 1e6  # a report of more is none
 
 
-class Names:
+class SettingsIndex:
     """The settings' names for what the module knows by number."""
 
     def __init__(self, settings: Settings, raw: dict[str, Any]) -> None:
--- a/quota_ingress/net/engine/send_rules.py
+++ b/quota_ingress/net/engine/send_rules.py
@@ -36,7 +36,7 @@
 class AttemptState(Protocol):
     """What the rules need to know of one attempt of a request."""
 
-    sent: int  # us, when it was asked for
+    sent_at: int  # us, when it was asked for
     ended: bool
 
     @property
@@ -47,10 +47,10 @@
 class RequestState(Protocol):
     """What the rules need to know of a request."""
 
-    over: bool
+    answered: bool
 
     @property
-    def body_passed_on(self) -> bool:
+    def body_forwarded(self) -> bool:
         """Some of its body has gone to a backend and is not held any more."""
 
     @property
@@ -70,14 +70,14 @@
     `until`: the moment in us up to which an answer could still be of use.
     """
     others = [a for a in request.attempts if a is not attempt]
-    if request.over:
+    if request.answered:
         return Denial.REQUEST_OVER
     if len(request.attempts) > limits.max_attempts:
         return Denial.TOO_MANY_ATTEMPTS
     out = any(not a.ended for a in others)
     if out and (request.body_coming or not limits.may_hedge):
         return Denial.SECOND_COPY
-    if request.body_passed_on:
+    if request.body_forwarded:
         return Denial.BODY_PASSED_ON
     if repeat := _repeat_denial(others, cls, now):
         return repeat
@@ -86,7 +86,7 @@
 
 def _repeat_denial(others: Sequence[AttemptState], cls: RequestClass, now: int) -> Denial | None:
     """Whether a further run could take effect again."""
-    ran = [a.sent for a in others if a.may_have_run]
+    ran = [a.sent_at for a in others if a.may_have_run]
     if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
         return None
     if cls.idempotency is Idempotency.NOT_IDEMPOTENT:
--- a/quota_ingress/net/event_log.py
+++ b/quota_ingress/net/event_log.py
@@ -20,7 +20,7 @@
 events = logging.getLogger("quota_ingress.events")
 
 
-class Trace:
+class EventLog:
     """Counts events by kind and reason, and writes them out where that is switched on."""
 
     def __init__(self, writes: bool = False) -> None:
@@ -29,7 +29,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()
 
     @classmethod
-    def from_environment(cls, environment: Mapping[str, str] = os.environ) -> Trace:
+    def from_environment(cls, environment: Mapping[str, str] = os.environ) -> EventLog:
         """Writes events if the environment says so."""
         return cls(writes=environment.get(VARIABLE, "") not in ("", "0"))
 
--- a/quota_ingress/net/http.py
+++ b/quota_ingress/net/http.py
@@ -20,7 +20,7 @@
 ROOM_MB = (2, 16)
 
 
-class Room:
+class MemoryBudget:
     """The bytes that all bodies together hold."""
 
     def __init__(self, memory_mb: float = 1024.0) -> None:
@@ -54,7 +54,7 @@
         "whole",
     )
 
-    def __init__(self, room: Room) -> None:
+    def __init__(self, room: MemoryBudget) -> None:
         self.room, self.data = room, bytearray()
         self.length: int | None = 0  # as the head says; None: told by chunks, or by the connection's end
         self.came = self.gone = 0  # bytes from the start
@@ -123,7 +123,7 @@
 
     __slots__ = ("body", "completed_at", "headers", "keep_alive", "method", "old", "status", "target")
 
-    def __init__(self, room: Room) -> None:
+    def __init__(self, room: MemoryBudget) -> None:
         self.completed_at = 0  # us: when its last byte came to this machine; 0 until then
         self.method = b""
         self.target = b""
@@ -141,7 +141,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, parser: type[Any], room: Room) -> None:
+    def __init__(self, parser: type[Any], room: MemoryBudget) -> None:
         self._kind, self._room = parser, room
         self._parser: Any = parser(self)
         self._message = Message(room)
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -12,10 +12,10 @@
 import httptools
 
 from quota_ingress.net.descriptors import Share
-from quota_ingress.net.discovery.endpoint_list import Entry
-from quota_ingress.net.engine.attempts import Answer
-from quota_ingress.net.event_log import Trace
-from quota_ingress.net.http import BUFFERED, KERNEL_BUFFER, SLICE, Body, HttpConnection, Message, Room
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.event_log import EventLog
+from quota_ingress.net.http import BUFFERED, KERNEL_BUFFER, SLICE, Body, HttpConnection, MemoryBudget, Message
 from quota_ingress.policy.events import Outcome
 
 IDLE_PART = 0.75  # of the time after which a backend closes an idle connection: ours is closed by then
@@ -49,8 +49,8 @@
     PROCESS_END = "process end"
 
 
-Ended = Callable[[Answer], None]
-Started = Callable[[Answer], None]
+Ended = Callable[[AttemptResult], None]
+Started = Callable[[AttemptResult], None]
 log = logging.getLogger(__name__)
 
 
@@ -99,7 +99,7 @@
         self.written = self.over = False
         self.moved_at = 0.0  # when some of it was last written or read, on its way through
 
-    def end(self, answer: Answer) -> None:
+    def end(self, answer: AttemptResult) -> None:
         if not self.over:
             self.over = True
             self._leave_body()
@@ -107,7 +107,7 @@
 
     def lost(self) -> None:
         """No answer will come: whether it has run depends on whether its last byte was written."""
-        self.end(Answer(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
+        self.end(AttemptResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
 
     def abort(self) -> bool:
         self.over = True
@@ -152,7 +152,7 @@
         rest = exchange.permit()
         if rest is None or exchange.over:
             self.drop(LinkEnd.DENIED)
-            exchange.end(Answer(Outcome.NOT_SENT))
+            exchange.end(AttemptResult(Outcome.NOT_SENT))
             return
         data = exchange.head + rest
         self.exchange, exchange.link = exchange, self
@@ -230,7 +230,7 @@
         if self.stream is body and exchange:
             exchange.moved_at = self.pool.now()
             if body.whole:
-                self._whole(message, exchange, Answer(Outcome.OK))
+                self._whole(message, exchange, AttemptResult(Outcome.OK))
             body.grew()
             self._ease()
         elif body.whole:
@@ -246,10 +246,10 @@
             exchange.started(answer)
             self._ease()
         elif body.long:  # nobody wants to know how it goes on
-            failed = Answer(Outcome.ERROR) if message.status == 200 else _answer(message)
+            failed = AttemptResult(Outcome.ERROR) if message.status == 200 else _answer(message)
             self.give_up(LinkEnd.UNWANTED, failed)
 
-    def _whole(self, message: Message, exchange: Exchange | None, answer: Answer) -> None:
+    def _whole(self, message: Message, exchange: Exchange | None, answer: AttemptResult) -> None:
         self.exchange = self.stream = None
         if self._paused:
             self._paused = False
@@ -293,9 +293,9 @@
     def garbage(self, status: int) -> None:
         """It has answered, so it is up and may have run the request; a reset would say that it is down."""
         log.warning("backend %s: answer not understood: %s", self.pool.name, self.wrong)
-        self.give_up(LinkEnd.NOT_UNDERSTOOD, Answer(Outcome.ERROR))
+        self.give_up(LinkEnd.NOT_UNDERSTOOD, AttemptResult(Outcome.ERROR))
 
-    def give_up(self, reason: LinkEnd, answer: Answer | None = None) -> None:
+    def give_up(self, reason: LinkEnd, answer: AttemptResult | None = None) -> None:
         """The attempt has failed, and with it the connection: an answer that was begun is cut short."""
         exchange, self.exchange = self.exchange, None
         self.drop(reason)
@@ -317,15 +317,15 @@
         self.give_up(LinkEnd.BY_BACKEND)
 
 
-def _answer(message: Message) -> Answer:
+def _answer(message: Message) -> AttemptResult:
     headers, status = message.headers, message.status
     load, kind = headers.get(b"server-load", b""), headers.get(b"content-type", b"")
     if status == 200:
         body = bytes(message.body.data) if message.body.whole else b""
-        return Answer(Outcome.OK, body, kind, load, told_length=_told_length(headers))
+        return AttemptResult(Outcome.OK, body, kind, load, declared_length=_told_length(headers))
     if status in (503, 504) and headers.get(b"not-started") == b"1":
-        return Answer(Outcome.REJECTED, load=load)
-    return Answer(Outcome.ERROR, load=load)  # nothing says that it never ran
+        return AttemptResult(Outcome.REJECTED, load=load)
+    return AttemptResult(Outcome.ERROR, load=load)  # nothing says that it never ran
 
 
 def _told_length(headers: dict[bytes, bytes]) -> bytes:
@@ -363,9 +363,15 @@
     )
 
     def __init__(
-        self, entry: Entry, share: Share, kept: Kept, room: Room, keep: int, trace: Trace | None = None
+        self,
+        entry: EndpointEntry,
+        share: Share,
+        kept: Kept,
+        room: MemoryBudget,
+        keep: int,
+        trace: EventLog | None = None,
     ) -> None:
-        self.keep, self.trace = keep, trace or Trace()
+        self.keep, self.trace = keep, trace or EventLog()
         self.name, self.address, self.share, self.kept, self.room = (
             entry.name,
             entry.address,
@@ -374,7 +380,7 @@
             room,
         )
         self.now = asyncio.get_running_loop().time
-        self.ready, self.started = entry.status == "up", entry.since_us
+        self.ready, self.started = entry.status == "up", entry.started_us
         self.idle: list[Link] = []  # the most recently used last
         self.busy: set[Link] = set()
         self.dials: set[Exchange] = set()
@@ -422,19 +428,19 @@
             exchange.lost()
 
 
-class Backends:
+class UpstreamClient:
     def __init__(
         self,
         share: Share,
         conn_idle_us: int,
         connect_timeout_us: int,
-        room: Room | None = None,
+        room: MemoryBudget | None = None,
         fleet_size: int = 1,
-        trace: Trace | None = None,
+        trace: EventLog | None = None,
     ) -> None:
-        self._trace = trace or Trace()
+        self._trace = trace or EventLog()
         self._keep = min(KEEP, max(1, FLEET_KEEP // fleet_size))
-        self._room = room or Room()
+        self._room = room or MemoryBudget()
         self._share, self._idle = share, conn_idle_us / 1e6 * IDLE_PART
         self._connect_timeout = connect_timeout_us / 1e6
         self._pools: dict[int, Pool] = {}
@@ -455,7 +461,7 @@
 
     # The list.
 
-    def know(self, entry: Entry, backend: int) -> None:
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
         pool = self._pools.get(backend)
         if pool is None:
             if entry.status != "removed":
@@ -465,12 +471,12 @@
             return
         pool.ready, stale = entry.status == "up", False
         if entry.status != "removed":  # a new start or address: what was connected leads to the one before
-            stale = pool.address != entry.address or pool.started != entry.since_us
-            pool.address, pool.started = entry.address, entry.since_us
+            stale = pool.address != entry.address or pool.started != entry.started_us
+            pool.address, pool.started = entry.address, entry.started_us
         if stale or not pool.ready:
             self._void.add(backend)
 
-    def settle(self, gone: Iterable[int]) -> None:
+    def reconcile(self, gone: Iterable[int]) -> None:
         for backend in gone:
             if pool := self._pools.pop(backend, None):
                 pool.ready = False
@@ -553,11 +559,11 @@
         def give_up() -> None:
             if not exchange.over:
                 exchange.abort()
-                ended(Answer(Outcome.TIMEOUT))
+                ended(AttemptResult(Outcome.TIMEOUT))
 
         self._loop.call_later(PROBE_TIMEOUT, give_up)
 
-    def close_idle(self, backend: int) -> None:
+    def close_idle_connections(self, backend: int) -> None:
         if pool := self._pools.get(backend):
             pool.close_idle(LinkEnd.IDLE)
 
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -363,7 +363,7 @@
             return False
         if ran is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        here, there, sent, tick = backend.info, ran.backend.info, ran.sent, self.settings.tick
+        here, there, sent, tick = backend.info, ran.backend.info, ran.sent_at, self.settings.tick
         same = {
             DeduplicationScope.ALL: True,
             DeduplicationScope.ZONE: here.zone == there.zone,
--- a/quota_ingress/policy/request_state.py
+++ b/quota_ingress/policy/request_state.py
@@ -16,7 +16,7 @@
 @dataclass(slots=True)
 class Attempt:
     backend: Endpoint
-    sent: int
+    sent_at: int
     out: bool = True
     may_have_run: bool = True  # until an outcome proves otherwise
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -42,7 +42,7 @@
     """With a module that sends every request to `backend`."""
     ingress = Ingress(Script(send_first))
     await ingress.start()
-    ingress.engine.listed(listing(backend.port))
+    ingress.engine.update_endpoints(listing(backend.port))
     yield ingress
     ingress.stop()
 
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from quota_ingress.net.clock import Clock
-from quota_ingress.net.descriptors import Sockets
-from quota_ingress.net.discovery.endpoint_list import Entry, Listing
+from quota_ingress.net.descriptors import DescriptorBudget
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import Names
-from quota_ingress.net.upstream.client import Backends
+from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Event, RequestArrived
 from quota_ingress.settings_codec import settings_from_json
@@ -60,13 +60,13 @@
 SETTINGS = settings_from_json(json.dumps(RAW).encode())
 
 
-def entry(name: str, port: int, status: str = "up", since_ms: int = 0) -> Entry:
-    return Entry({"name": name, "address": f"{HOST}:{port}", "status": status, "since_ms": since_ms})
+def entry(name: str, port: int, status: str = "up", since_ms: int = 0) -> EndpointEntry:
+    return EndpointEntry({"name": name, "address": f"{HOST}:{port}", "status": status, "since_ms": since_ms})
 
 
-def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> Listing:
+def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> EndpointList:
     entry = {"name": "s-1", "address": f"{HOST}:{port}", "status": status, "zone": "hall", "type": "big"}
-    return Listing({"index": index, "snapshot": whole, "endpoints": [entry]})
+    return EndpointList({"index": index, "snapshot": whole, "endpoints": [entry]})
 
 
 class Script:
@@ -169,12 +169,14 @@
     """All of the ingress but discovery and the counter, with a scripted module."""
 
     def __init__(self, script: Script, limit: int = 1024) -> None:
-        clock, self.sockets, self.script = Clock(), Sockets(limit), script
-        names, loop = Names(SETTINGS, RAW), asyncio.get_running_loop()
+        clock, self.sockets, self.script = Clock(), DescriptorBudget(limit), script
+        names, loop = SettingsIndex(SETTINGS, RAW), asyncio.get_running_loop()
         self.engine = Engine(script, SETTINGS, names, loop, clock.now)
         limits = SETTINGS.limits
-        self.backends = Backends(self.sockets.backends, RAW["ceilings"]["conn_idle"], limits.connect_timeout)
-        self.engine.servers = self.backends
+        self.backends = UpstreamClient(
+            self.sockets.backends, RAW["ceilings"]["conn_idle"], limits.connect_timeout
+        )
+        self.engine.upstream = self.backends
         self.listener = Listener(self.engine, self.sockets, clock.now)
 
     async def start(self) -> int:
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -9,8 +9,8 @@
 import pytest_asyncio
 
 from quota_ingress.net.admin import Admin
-from quota_ingress.net.discovery.endpoint_list import Listing
-from quota_ingress.net.discovery.operator_overrides import Maintenance
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream import listener as listener_module
 from quota_ingress.policy.actions import AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
@@ -118,23 +118,25 @@
     """Maintenance between a pretended discovery and the engine."""
 
     def __init__(self) -> None:
-        self.time, self.heard = 5_000_000, list[Listing]()
-        self.maintenance = Maintenance(lambda: self.time, lambda listing, kind: self.heard.append(listing))
+        self.time, self.heard = 5_000_000, list[EndpointList]()
+        self.maintenance = OperatorOverrides(
+            lambda: self.time, lambda listing, kind: self.heard.append(listing)
+        )
 
     def list(self, *entries: dict[str, object], whole: bool = True) -> None:
         named = [{"address": f"{HOST}:1", "status": "up"} | e for e in entries]
-        self.maintenance.listed(Listing({"index": 4, "snapshot": whole, "endpoints": named}))
+        self.maintenance.listed(EndpointList({"index": 4, "snapshot": whole, "endpoints": named}))
 
     @property
     def last(self) -> dict[str, tuple[str, int]]:
-        return {e.name: (e.status, e.since_us) for e in self.heard[-1].entries}
+        return {e.name: (e.status, e.started_us) for e in self.heard[-1].entries}
 
 
 def test_a_backend_taken_out_is_told_as_draining_whatever_discovery_says() -> None:
     told = Told()
     told.list({"name": "a"}, {"name": "b"})
     assert told.maintenance.take_offline("a") and told.maintenance.take_offline("a")
-    assert len(told.heard) == 2 and not told.heard[-1].whole and told.last == {"a": ("draining", 0)}
+    assert len(told.heard) == 2 and not told.heard[-1].is_snapshot and told.last == {"a": ("draining", 0)}
     told.list({"name": "a"}, {"name": "b"})
     assert told.last == {"a": ("draining", 0), "b": ("up", 0)}
     told.list({"name": "a", "since_ms": 4000}, whole=False)  # it was restarted meanwhile
@@ -176,7 +178,7 @@
     ingress = Ingress(Script(send_first))
     await ingress.start()
     box = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
-    ingress.engine.listed(Listing({"index": 1, "snapshot": True, "endpoints": [box]}))
+    ingress.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": [box]}))
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(up)
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
@@ -234,17 +236,18 @@
     gateway, time = Gateway(SETTINGS, 1), [1_000_000_000]
     boxes: dict[str, int] = {"a": 1, "b": 2}
 
-    def tell(listing: Listing, kind: ListKind | None) -> None:
+    def tell(listing: EndpointList, kind: ListKind | None) -> None:
         states = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
         told = [
-            ListedEndpoint(boxes[e.name], states[e.status], 0, 0, 0, 1.0, e.since_us) for e in listing.entries
+            ListedEndpoint(boxes[e.name], states[e.status], 0, 0, 0, 1.0, e.started_us)
+            for e in listing.entries
         ]
-        way = ListKind.FULL if listing.whole else ListKind.DELTA
+        way = ListKind.FULL if listing.is_snapshot else ListKind.DELTA
         gateway.handle(time[0], EndpointsListed(way, listing.index, tuple(told)))
 
-    maintenance = Maintenance(lambda: time[0], tell)
+    maintenance = OperatorOverrides(lambda: time[0], tell)
     up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in boxes]
-    maintenance.listed(Listing({"index": 1, "snapshot": True, "endpoints": up}))
+    maintenance.listed(EndpointList({"index": 1, "snapshot": True, "endpoints": up}))
     number = 0
 
     def sends() -> set[int]:
--- a/tests/test_net_arrival.py
+++ b/tests/test_net_arrival.py
@@ -94,7 +94,7 @@
         sent = time.monotonic()
         await asyncio.sleep(0.8)
         ingress = Ingress(Script(send_first))
-        ingress.engine.listed(listing(backend.port))
+        ingress.engine.update_endpoints(listing(backend.port))
         await ingress.listener.listen(HOST, 0, held.fileno())
         assert await told(backend, "r0") <= TIMEOUT - (time.monotonic() - sent) + SLACK
         ingress.stop()
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -9,9 +9,9 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.descriptors import Sockets
-from quota_ingress.net.engine.attempts import Answer
-from quota_ingress.net.upstream.client import Backends, Pool
+from quota_ingress.net.descriptors import DescriptorBudget
+from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.upstream.client import Pool, UpstreamClient
 from quota_ingress.policy.events import Outcome
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, entry
 
@@ -22,16 +22,16 @@
     """One backend behind the real pools."""
 
     def __init__(self, server: PeerServer, idle_us: int = 10_000_000) -> None:
-        self.server, self.sockets = server, Sockets(1024).backends
-        self.backends = Backends(self.sockets, idle_us, 250_000)
+        self.server, self.sockets = server, DescriptorBudget(1024).backends
+        self.backends = UpstreamClient(self.sockets, idle_us, 250_000)
         self.list()
 
     def list(self, status: str = "up", port: int = 0, since_ms: int = 0) -> None:
-        self.backends.know(entry("s-1", port or self.server.port, status, since_ms), 1)
-        self.backends.settle([1] if status == "removed" else [])
+        self.backends.register_endpoint(entry("s-1", port or self.server.port, status, since_ms), 1)
+        self.backends.reconcile([1] if status == "removed" else [])
 
-    def send(self, data: bytes = REQUEST) -> asyncio.Future[Answer]:
-        done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    def send(self, data: bytes = REQUEST) -> asyncio.Future[AttemptResult]:
+        done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
         self.exchange = self.backends.send(1, data, done.set_result)
         return done
 
@@ -142,12 +142,12 @@
     looked: list[str] = []
     monkeypatch.setattr(Pool, "withdraw", lambda pool: looked.append(pool.name))
     for number in range(2, 30):
-        fleet.backends.know(entry(f"s-{number}", 1, "draining"), number)
-    fleet.backends.know(entry("s-2", 1, "up"), 2)
-    fleet.backends.know(entry("s-3", 1, "draining"), 3)
-    fleet.backends.settle([29])
+        fleet.backends.register_endpoint(entry(f"s-{number}", 1, "draining"), number)
+    fleet.backends.register_endpoint(entry("s-2", 1, "up"), 2)
+    fleet.backends.register_endpoint(entry("s-3", 1, "draining"), 3)
+    fleet.backends.reconcile([29])
     assert looked == ["s-29", "s-3"]
-    fleet.backends.settle([])
+    fleet.backends.reconcile([])
     assert looked == ["s-29", "s-3"]
 
 
@@ -210,11 +210,11 @@
 
 
 async def test_probes_are_answered_or_given_up(fleet: Fleet) -> None:
-    done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     fleet.backends.probe(1, done.set_result)
     assert (await done).outcome is Outcome.OK
     fleet.server.heard = lambda peer: None
-    silent: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    silent: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     fleet.backends.probe(1, silent.set_result)
     assert (await silent).outcome is Outcome.TIMEOUT
 
@@ -231,9 +231,9 @@
 async def test_a_second_copy_of_an_answer_is_never_taken_for_the_next_requests(fleet: Fleet) -> None:
     """Both came in one read; the link had been given back, and the module's next request was on it."""
     fleet.server.heard = answers(OK + OK)
-    done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
-    def again(answer: Answer) -> None:
+    def again(answer: AttemptResult) -> None:
         fleet.server.heard = answers(OK.replace(b"warm", b"mine"))
         fleet.backends.send(1, REQUEST, done.set_result)
 
@@ -279,7 +279,7 @@
     outcomes = [await fleet.outcome() for _ in range(6)]
     assert outcomes == [Outcome.OK, Outcome.RESET] * 3  # safe ones go on as before
     for _ in range(4):
-        done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
         fleet.backends.send(1, REQUEST, done.set_result, once=True)
         async with asyncio.timeout(10):
             assert (await done).outcome is Outcome.OK
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -79,7 +79,7 @@
         held += [weakref.ref(link) for pool in ingress.backends._pools.values() for link in pool.idle]
         assert len(held) == 2
         writer.close()
-        ingress.backends.close_idle(1)
+        ingress.backends.close_idle_connections(1)
         async with asyncio.timeout(10):
             while any(ref() for ref in held):
                 await asyncio.sleep(0)
@@ -192,10 +192,10 @@
     ingress.script.rule = lambda event: [Reject(1, 250_000)]
     answer = await ingress.ask(request())
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Retry-After: 0.250\r\n" in answer
-    ingress.engine.open = 100
+    ingress.engine.in_flight = 100
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 429 ")
     assert len(ingress.script.of(RequestArrived)) == 1
-    ingress.engine.open = 0
+    ingress.engine.in_flight = 0
 
 
 async def test_a_module_error_does_not_end_the_process(ingress: Ingress) -> None:
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -12,13 +12,13 @@
 from quota_ingress.net.backoff import Backoff
 from quota_ingress.net.counter import client as counter_module
 from quota_ingress.net.counter.client import Counter
-from quota_ingress.net.descriptors import Sockets
+from quota_ingress.net.descriptors import DescriptorBudget
 from quota_ingress.net.discovery import retry
 from quota_ingress.net.discovery import watch as discovery_module
-from quota_ingress.net.discovery.endpoint_list import Listing
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.watch import Discovery, Watch
-from quota_ingress.net.engine.attempts import Answer
-from quota_ingress.net.upstream.client import Backends
+from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.events import Outcome
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, entry
 
@@ -242,16 +242,16 @@
 
 class Watched:
     def __init__(self, server: PeerServer) -> None:
-        self.told: list[Listing] = []
+        self.told: list[EndpointList] = []
         self.changed = asyncio.Event()
         self.discovery = Discovery((HOST, server.port), 41, self._changed)
         self.discovery.start()
 
-    def _changed(self, listing: Listing) -> None:
+    def _changed(self, listing: EndpointList) -> None:
         self.told.append(listing)
         self.changed.set()
 
-    async def heard(self, count: int) -> list[Listing]:
+    async def heard(self, count: int) -> list[EndpointList]:
         async with asyncio.timeout(10):
             while len(self.told) < count:
                 self.changed.clear()
@@ -266,7 +266,7 @@
     both = line(42, False, "a") + b"\n" + line(43, True, "a", "b")
     server.peers[0].transport.write(HEAD + chunk(both[:30]) + chunk(both[30:]))
     told = await watched.heard(2)
-    assert [(x.index, x.whole, [e.name for e in x.entries]) for x in told] == [
+    assert [(x.index, x.is_snapshot, [e.name for e in x.entries]) for x in told] == [
         (42, False, ["a"]),
         (43, True, ["a", "b"]),
     ]
@@ -382,9 +382,9 @@
 @pytest.mark.parametrize(("size", "kept"), [(4, 3), (48, 1)])
 async def test_a_large_fleet_keeps_fewer_idle_connections_to_a_backend(size: int, kept: int) -> None:
     backend = await PeerServer(answers(OK)).start()
-    backends = Backends(Sockets(1024).backends, 10_000_000, 250_000, fleet_size=size)
-    backends.know(entry("s-1", backend.port), 1)
-    asked: list[asyncio.Future[Answer]] = []
+    backends = UpstreamClient(DescriptorBudget(1024).backends, 10_000_000, 250_000, fleet_size=size)
+    backends.register_endpoint(entry("s-1", backend.port), 1)
+    asked: list[asyncio.Future[AttemptResult]] = []
     for _ in range(3):
         asked.append(asyncio.get_running_loop().create_future())
         backends.send(1, b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n", asked[-1].set_result)
--- a/tests/test_net_engine.py
+++ b/tests/test_net_engine.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from quota_ingress.net.discovery.endpoint_list import Entry, Listing
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.discovery.start_times import reserve
-from quota_ingress.net.engine.attempts import Answer, Wanted
+from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
 from quota_ingress.net.engine.engine import LAST_ATTEMPT, Engine
-from quota_ingress.net.engine.names import Names
-from quota_ingress.net.http import Body, Room
+from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.policy.actions import Action, AddToCounter, CancelAttempt, Fail, Reject, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
 from quota_ingress.policy.events import (
@@ -37,10 +37,10 @@
 
 
 class Exchange:
-    def __init__(self, data: bytes, ended: Callable[[Answer], None]) -> None:
+    def __init__(self, data: bytes, ended: Callable[[AttemptResult], None]) -> None:
         self.data, self.ended, self.aborted, self.ran = data, ended, False, True
         self.written = True
-        self.started: Callable[[Answer], None] = lambda answer: None
+        self.started: Callable[[AttemptResult], None] = lambda answer: None
 
     def abort(self) -> bool:
         self.aborted = True
@@ -59,8 +59,8 @@
         self.settled: list[int] = []
         self.answers: list[Any] = []
         self.script = script
-        self.engine = Engine(script, SETTINGS, Names(SETTINGS, RAW), self, lambda: self.time)
-        self.engine.servers = self
+        self.engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), self, lambda: self.time)
+        self.engine.upstream = self
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
         self.timers.append(Timer(self.time + round(delay * 1e6), lambda: callback(*args)))
@@ -75,48 +75,50 @@
             first.run()
         self.time = end
 
-    def know(self, entry: Entry, backend: int) -> None: ...
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
 
-    def settle(self, gone: Iterable[int]) -> None:
+    def reconcile(self, gone: Iterable[int]) -> None:
         self.settled += gone
         for exchange in self.sent:
-            exchange.ended(Answer(Outcome.CONNECT_FAILED))
+            exchange.ended(AttemptResult(Outcome.CONNECT_FAILED))
 
     def send(
         self,
         backend: int,
         head: bytes,
-        ended: Callable[[Answer], None],
+        ended: Callable[[AttemptResult], None],
         once: bool,
         body: Body | None,
-        started: Callable[[Answer], None],
+        started: Callable[[AttemptResult], None],
         permit: Callable[[], bytes | None],
     ) -> Exchange:
         self.sent.append(Exchange(head + (permit() or b""), ended))
         self.sent[-1].started = started
         return self.sent[-1]
 
-    def probe(self, backend: int, ended: Callable[[Answer], None]) -> None: ...
+    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None: ...
 
-    def close_idle(self, backend: int) -> None: ...
+    def close_idle_connections(self, backend: int) -> None: ...
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return False
 
-    def serve(self, answer: Answer) -> None:
+    def respond(self, answer: AttemptResult) -> None:
         self.answers.append(answer.body)
 
-    def refuse(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         self.answers.append(retry_after)
 
     def fail(self, timed_out: bool) -> None:
         self.answers.append("late" if timed_out else "failed")
 
     def ask(self, id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
-        body = Body(Room())
+        body = Body(MemoryBudget())
         body.whole = True
-        wanted = Wanted(id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body)
-        return self.engine.arrived(wanted, self)
+        wanted = ParsedRequest(
+            id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body
+        )
+        return self.engine.on_request(wanted, self)
 
 
 def sender(*more: Action, timeout: int = 0) -> Callable[[Event], list[Action]]:
@@ -149,12 +151,12 @@
     world = World(Script(sender()))
     world.ask()
     world.time += 7000
-    world.sent[0].ended(Answer(Outcome.OK, b"body", load=b"queue=2"))
-    world.sent[0].ended(Answer(Outcome.RESET))
+    world.sent[0].ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
+    world.sent[0].ended(AttemptResult(Outcome.RESET))
     assert world.answers == [b"body"] and ends(world.script) == [(0, Outcome.OK, True)]
     (event,) = world.script.of(AttemptEnded)
     assert event.load == (2.0,) and event.latency == 7000
-    assert all(t.cancelled for t in world.timers) and world.engine.open == 0
+    assert all(t.cancelled for t in world.timers) and world.engine.in_flight == 0
     assert not world.ask()  # no new request has the id of one that has just ended
     world.pass_time(max(c.deadline for c in SETTINGS.classes) + 1)
     assert world.ask()  # the id is free again
@@ -166,7 +168,7 @@
     world.ask()
     assert ends(world.script) == [(1, Outcome.NOT_SENT, False), (2, Outcome.NOT_SENT, True)]
     assert len(world.sent) == 1 and world.answers == ["failed"]
-    world.sent[0].ended(Answer(Outcome.OK, b"too late"))
+    world.sent[0].ended(AttemptResult(Outcome.OK, b"too late"))
     assert ends(world.script)[2] == (0, Outcome.OK, True) and world.answers == ["failed"]
 
 
@@ -217,9 +219,9 @@
 def test_the_module_hears_the_list_before_the_attempts_that_it_withdraws() -> None:
     world = World(Script(sender()))
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up", "since_ms": 5} for n in "ab"]
-    world.engine.listed(Listing({"index": 1, "snapshot": True, "endpoints": names}))
+    world.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": names}))
     world.ask()
-    world.engine.listed(Listing({"index": 2, "snapshot": True, "endpoints": names[1:]}))
+    world.engine.update_endpoints(EndpointList({"index": 2, "snapshot": True, "endpoints": names[1:]}))
     assert [type(e) for e in world.script.events[-2:]] == [EndpointsListed, AttemptEnded]
     assert world.settled == [1]
     first, second = world.script.of(EndpointsListed)
@@ -233,7 +235,7 @@
     [b"", b"queue=", b"other=1", b"queue=1e", b"queue=nan", b"queue=-1", b"queue=inf", b"queue=9e9"],
 )
 def test_a_load_report_that_says_nothing_is_none(text: bytes) -> None:
-    assert Names(SETTINGS, RAW).load(text) == ()
+    assert SettingsIndex(SETTINGS, RAW).load(text) == ()
 
 
 def test_backends_that_have_gone_are_forgotten_and_their_numbers_never_used_again() -> None:
@@ -242,10 +244,10 @@
         names = [{"name": f"s-{index}", "address": "127.0.0.1:1", "status": "up"}]
         if index:
             names.append({"name": f"s-{index - 1}", "status": "removed"})
-        world.engine.listed(Listing({"index": index, "snapshot": False, "endpoints": names}))
+        world.engine.update_endpoints(EndpointList({"index": index, "snapshot": False, "endpoints": names}))
     assert len(world.engine._backends) == 1 and world.settled == list(range(1, 50))
     again = {"name": "s-3", "address": "127.0.0.1:1", "status": "up"}
-    world.engine.listed(Listing({"index": 60, "snapshot": False, "endpoints": [again]}))
+    world.engine.update_endpoints(EndpointList({"index": 60, "snapshot": False, "endpoints": [again]}))
     assert world.script.of(EndpointsListed)[-1].endpoints[0].id == 51
 
 
@@ -253,7 +255,7 @@
     def marks(names: list[str]) -> dict[str, int]:
         world = World(Script(sender()))
         entries = [{"name": name, "address": "127.0.0.1:1", "status": "up"} for name in names]
-        world.engine.listed(Listing({"index": 1, "snapshot": True, "endpoints": entries}))
+        world.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": entries}))
         (event,) = world.script.of(EndpointsListed)
         return {name: b.hash_key for name, b in zip(names, event.endpoints, strict=True)}
 
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -11,8 +11,8 @@
 import pytest_asyncio
 
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.engine.attempts import Answer
-from quota_ingress.net.upstream.client import Backends, Exchange, LinkEnd, Pool
+from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.upstream.client import Exchange, LinkEnd, Pool, UpstreamClient
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
 from quota_ingress.policy.events import (
     AttemptEnded,
@@ -46,7 +46,7 @@
     monkeypatch.setattr(connection_module, "LEFT_LOOK", 60.0)
     ingress = Ingress(Script())
     await ingress.start()
-    ingress.engine.listed(listing(backend.port))
+    ingress.engine.update_endpoints(listing(backend.port))
     yield ingress
     ingress.stop()
 
@@ -113,15 +113,15 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """Its end is behind requests that are not read, so nobody has told."""
-    up, dialling, done, connect = asyncio.Event(), asyncio.Event(), asyncio.Event(), Backends._connect
+    up, dialling, done, connect = asyncio.Event(), asyncio.Event(), asyncio.Event(), UpstreamClient._connect
 
-    async def late(self: Backends, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
         dialling.set()
         await up.wait()
         await connect(self, pool, exchange)
         done.set()
 
-    monkeypatch.setattr(Backends, "_connect", late)
+    monkeypatch.setattr(UpstreamClient, "_connect", late)
     ingress.script.rule = lambda event: (
         [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) and event.request == 1 else []
     )
@@ -141,7 +141,7 @@
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """Also where its request is over for another reason than its client: else it would be out for ever."""
-    ended: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     exchange = ingress.backends.send(1, request("r0"), ended.set_result, permit=lambda: None)
     async with asyncio.timeout(10):
         assert (await ended).outcome is Outcome.NOT_SENT
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -19,11 +19,11 @@
 from ingress_testbed.faults import Call, Faults, build
 from ingress_testbed.soak.nodes import free_port
 from quota_ingress.__main__ import Ingress, read_config
-from quota_ingress.net.descriptors import Sockets
-from quota_ingress.net.discovery.endpoint_list import Entry
-from quota_ingress.net.discovery.operator_overrides import Maintenance
+from quota_ingress.net.descriptors import DescriptorBudget
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import Names
+from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
 from quota_ingress.net.lifecycle.upgrade import NAME, Handover
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
@@ -266,7 +266,7 @@
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while await reader.readline():
             await asyncio.sleep(slow)
-            lines = {"part": {"a": Entry(listed).packed()}}, {"answer": state}
+            lines = {"part": {"a": EndpointEntry(listed).packed()}}, {"answer": state}
             writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
     server = await asyncio.start_unix_server(answer, tmp_path / NAME)
@@ -325,7 +325,7 @@
     state = {"listing": listing, "out": [], "back": {}, "gone": [], "drained": False}
     lines = {"answer": state}, {"note": {"backend": "a", "out": True}}, {"note": {"drain": True}}
     new = Process()
-    made = Maintenance(lambda: 7_000_000, lambda listing, kind: None)
+    made = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: None)
     new.noted = lambda note: made.noted("a", True) if "backend" in note else None  # type: ignore[method-assign]
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -369,8 +369,8 @@
 
 def test_operators_calls_hold_across_an_upgrade() -> None:
     heard: list[Any] = []
-    old = Maintenance(lambda: 7_000_000, lambda listing, kind: heard.append(listing))
-    made = Maintenance(lambda: 9_000_000, lambda listing, kind: heard.append(listing))
+    old = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: heard.append(listing))
+    made = OperatorOverrides(lambda: 9_000_000, lambda listing, kind: heard.append(listing))
     listing = made.take_up(
         {"listing": {"index": 0, "snapshot": True, "endpoints": []}, "out": [], "back": {}, "gone": []}
     )
@@ -382,7 +382,7 @@
     for part in old.parts():  # as it comes through the channel
         made.take_part(json.loads(json.dumps(part)))
     made.listed(made.take_up(json.loads(json.dumps(old.described()))))
-    told = {e.name: (e.status, e.since_us, e.address) for e in heard[-1].entries}
+    told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
     made.noted("a", out=False)
@@ -430,8 +430,12 @@
         def call_later(self, *_: object) -> Any: ...
 
     def engine() -> Engine:
-        made = Engine(Gateway(SETTINGS, 1), SETTINGS, Names(SETTINGS, RAW), Loop(), lambda: 1_000_000_000)
-        made.servers = type("None", (), {"know": lambda *_: None, "settle": lambda *_: None})()
+        made = Engine(
+            Gateway(SETTINGS, 1), SETTINGS, SettingsIndex(SETTINGS, RAW), Loop(), lambda: 1_000_000_000
+        )
+        made.upstream = type(
+            "None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None}
+        )()
         return made
 
     whole = json.loads(json.dumps(engine().hand_over()))
@@ -450,7 +454,7 @@
 
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
-    alone, one = Sockets(384, 12), Sockets(384, 12)
+    alone, one = DescriptorBudget(384, 12), DescriptorBudget(384, 12)
     one.halve(True)
     assert 2 * (one.clients.most + one.backends.most) < alone.clients.most + alone.backends.most
     one.halve(False)
--- a/tests/test_net_last_answers.py
+++ b/tests/test_net_last_answers.py
@@ -40,7 +40,7 @@
 async def test_requests_read_together_as_the_process_ends_are_all_answered(ingress: Ingress) -> None:
     """The first one was refused at once, with a close, before the second was looked at."""
     ingress.listener.begin_stop()
-    ingress.engine.give_up()
+    ingress.engine.fail_all()
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1"))
     assert await statuses(reader, 2) == [b"429"] * 2
@@ -65,15 +65,15 @@
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     ingress.listener.begin_stop()
     (connection,) = ingress.listener.connections
-    serve = connection.serve
+    serve = connection.respond
 
     def crossed(answer: object) -> None:
         os.write(writer.get_extra_info("socket").fileno(), request("r1"))
         time.sleep(0.02)  # it is in our socket by now
-        connection.serve = serve  # type: ignore[method-assign]
+        connection.respond = serve  # type: ignore[method-assign]
         serve(answer)  # type: ignore[arg-type]
 
-    connection.serve = crossed  # type: ignore[method-assign, assignment]
+    connection.respond = crossed  # type: ignore[method-assign, assignment]
     backend.heard = answers(OK)
     backend.peers[0].transport.write(OK)
     assert await statuses(reader, 2) == [b"200"] * 2
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -19,11 +19,11 @@
 from quota_ingress.__main__ import read_config
 from quota_ingress.net.discovery import endpoint_list as listing_module
 from quota_ingress.net.discovery import operator_overrides as maintenance_module
-from quota_ingress.net.discovery.directory import Directory
-from quota_ingress.net.discovery.endpoint_list import Document, Entry, Line, Listing
-from quota_ingress.net.discovery.operator_overrides import Maintenance
+from quota_ingress.net.discovery.directory import EndpointDirectory
+from quota_ingress.net.discovery.endpoint_list import Document, EndpointEntry, EndpointList, Line
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import Names
+from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.policy import subsetting
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState
 from quota_ingress.policy.gateway import Gateway
@@ -37,8 +37,8 @@
 TEXT = st.text(max_size=8)
 
 
-def told(*endpoints: dict[str, Any], index: int = 1, whole: bool = True) -> Listing:
-    return Listing({"index": index, "snapshot": whole, "endpoints": list(endpoints)})
+def told(*endpoints: dict[str, Any], index: int = 1, whole: bool = True) -> EndpointList:
+    return EndpointList({"index": index, "snapshot": whole, "endpoints": list(endpoints)})
 
 
 def box(number: int, status: str = "up", since_ms: int = 0) -> dict[str, Any]:
@@ -58,7 +58,7 @@
 # Reading.
 
 
-def read(data: bytes, cut: int) -> Listing:
+def read(data: bytes, cut: int) -> EndpointList:
     """A list whose text comes in parts of `cut` bytes, and is long from its first byte on."""
     document = Document()
     *lines, rest = data.split(b"\n")
@@ -66,7 +66,7 @@
         parts = [line[at : at + cut] for at in range(0, len(line), cut)]
         for part in parts:
             document.part(part)
-        if isinstance(found := document.end(b""), Listing):
+        if isinstance(found := document.end(b""), EndpointList):
             return found
         assert found is Line.MORE
     raise AssertionError("no end")
@@ -98,7 +98,7 @@
     with pytest.MonkeyPatch.context() as always:
         always.setattr(listing_module, "LONG", long)
         found = read(data, cut)
-    assert (found.index, found.whole, found.packed) == (12, True, Listing(json.loads(data)).packed)
+    assert (found.index, found.is_snapshot, found.packed) == (12, True, EndpointList(json.loads(data)).packed)
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
         index += 100
     document.part(json.dumps(box(index)).encode() + b"]")
     found = document.end(b"}")
-    assert isinstance(found, Listing) and len(found.packed) == 20_001
+    assert isinstance(found, EndpointList) and len(found.packed) == 20_001
     with pytest.raises(ValueError):  # one value without end
         document.part(b'{"index":"' + b"x" * 300_000)
         for _ in range(20):
@@ -131,7 +131,7 @@
 def test_a_name_told_twice_and_a_removal_of_what_never_was_are_logged_and_nothing_is_lost(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    directory = Directory()
+    directory = EndpointDirectory()
     with caplog.at_level(logging.INFO):
         directory.take(told(box(1), box(2), box(1, "draining"), box(3, "removed")))
         directory.take(told(box(9, "removed"), box(4), whole=False))
@@ -167,9 +167,9 @@
     ),
 )
 def test_an_entry_is_packed_without_loss(raw: dict[str, Any]) -> None:
-    entry = Entry(raw)
-    again = Entry.unpacked(entry.name, entry.packed())
-    assert all(getattr(again, field) == getattr(entry, field) for field in Entry.__slots__)
+    entry = EndpointEntry(raw)
+    again = EndpointEntry.unpacked(entry.name, entry.packed())
+    assert all(getattr(again, field) == getattr(entry, field) for field in EndpointEntry.__slots__)
 
 
 # What the engine tells of a long list.
@@ -180,11 +180,11 @@
 
     def __init__(self, script: Any = None) -> None:
         super().__init__(script or Script(sender()))
-        self.engine = Engine(self.script, LONG_FLEET, Names(LONG_FLEET, RAW), self, lambda: self.time)
-        self.engine.servers = self
+        self.engine = Engine(self.script, LONG_FLEET, SettingsIndex(LONG_FLEET, RAW), self, lambda: self.time)
+        self.engine.upstream = self
         self.known: dict[int, str] = {}
 
-    def know(self, entry: Entry, backend: int) -> None:
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
         self.known[backend] = entry.name
 
     @property
@@ -197,7 +197,7 @@
 
 def test_the_module_is_told_of_the_part_held_and_how_many_are_ready_in_all() -> None:
     world = LongWorld()
-    world.engine.listed(told(*(box(n) for n in range(20_000))))
+    world.engine.update_endpoints(told(*(box(n) for n in range(20_000))))
     held = world.held()
     assert (
         300 < len(held) < 1500 and len(world.last.endpoints) == len(held) and world.last.ready_total == 20_000
@@ -205,7 +205,7 @@
     assert set(world.known.values()) == held  # no other has a pool
     for number in range(500):
         entry = box(number, "draining")
-        world.engine.listed(told(entry, index=2 + number, whole=False))
+        world.engine.update_endpoints(told(entry, index=2 + number, whole=False))
         drained = [EndpointState.DRAINING] * (entry["name"] in held)
         assert [
             b.state for b in world.last.endpoints
@@ -215,16 +215,18 @@
 
 def test_dealing_anew_tells_the_module_just_the_difference() -> None:
     world, gateway = LongWorld(), Gateway(LONG_FLEET, 1)
-    world.engine.listed(told(*(box(n) for n in range(1000))))
+    world.engine.update_endpoints(told(*(box(n) for n in range(1000))))
     assert len(world.held()) == 1000 and world.last.ready_total == 0  # all of them
-    world.engine.listed(told(*(box(n) for n in range(1000, 1050)), index=2, whole=False))
+    world.engine.update_endpoints(told(*(box(n) for n in range(1000, 1050)), index=2, whole=False))
     left = {n for n, name in world.known.items() if name not in world.held()}
     gone = {b.id for b in world.last.endpoints if b.state is EndpointState.REMOVED}
     assert gone == left == set(world.settled) and 400 < len(world.held()) < 650
     new = {b.id for b in world.last.endpoints} - gone
     assert new <= set(world.known) and len(new) < 50 and world.last.ready_total == 1050
-    world.engine.listed(told(*(box(n, "removed") for n in range(300)), index=3, whole=False))  # 750 are left
-    world.engine.listed(told(box(400, "draining"), index=4, whole=False))
+    world.engine.update_endpoints(
+        told(*(box(n, "removed") for n in range(300)), index=3, whole=False)
+    )  # 750 are left
+    world.engine.update_endpoints(told(box(400, "draining"), index=4, whole=False))
     assert world.held() == {box(n)["name"] for n in range(300, 1050)}
     for event in world.script.of(EndpointsListed):
         gateway.handle(0, event)
@@ -257,7 +259,7 @@
         world, gateway, now = LongWorld(), Gateway(LONG_FLEET, 1), dict[str, dict[str, Any]]()
         for whole, changes in events:
             entries = [box(*change) for change in changes]
-            world.engine.listed(told(*entries, whole=whole))
+            world.engine.update_endpoints(told(*entries, whole=whole))
             gateway.handle(0, world.last)
             now = ({} if whole else now) | {e["name"]: e for e in entries}
             now = {n: e for n, e in now.items() if e["status"] != "removed"}
@@ -276,7 +278,7 @@
 def change_cost(count: int) -> float:
     """s of CPU for one change, from the line to the module, the least of some."""
     world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
-    maintenance = Maintenance(lambda: 0, world.engine.listed, world.engine.directory)
+    maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
     maintenance.listed(told(*(box(n) for n in range(count))))
     held = next(int(name[2:], 16) for name in world.engine._backends)
     for n in range(40):
@@ -284,7 +286,7 @@
         document, line = Document(), json.dumps(raw).encode()
         begun = time.process_time()
         found = document.end(line)
-        assert isinstance(found, Listing)
+        assert isinstance(found, EndpointList)
         maintenance.listed(found)
         costs.append(time.process_time() - begun)
     return min(costs)
@@ -299,7 +301,7 @@
 
 def test_operators_take_out_any_backend_that_is_listed_held_or_not() -> None:
     world = LongWorld()
-    maintenance = Maintenance(lambda: 7_000_000, world.engine.listed, world.engine.directory)
+    maintenance = OperatorOverrides(lambda: 7_000_000, world.engine.update_endpoints, world.engine.directory)
     maintenance.listed(told(*(box(n) for n in range(2000))))
     held = world.held()
     for name in (next(iter(held)), next(n for n in world.engine.directory if n not in held)):
@@ -307,14 +309,16 @@
         assert world.engine.directory[name].status == "draining" and world.last.ready_total == 1999
         assert [b.state for b in world.last.endpoints] == [EndpointState.DRAINING] * (name in held)
         parts = {n: packed for part in maintenance.parts() for n, packed in part.items()}
-        assert len(parts) == 2000 and Entry.unpacked(name, parts[name]).status == "up"  # as discovery told it
+        assert (
+            len(parts) == 2000 and EndpointEntry.unpacked(name, parts[name]).status == "up"
+        )  # as discovery told it
         assert maintenance.put_online(name)
-        assert world.engine.directory[name].since_us == 7_000_000 and world.last.ready_total == 2000
+        assert world.engine.directory[name].started_us == 7_000_000 and world.last.ready_total == 2000
 
 
 def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(maintenance_module, "GONE", 100)
-    maintenance = Maintenance(lambda: 0, lambda listing, kind: None)
+    maintenance = OperatorOverrides(lambda: 0, lambda listing, kind: None)
     maintenance.listed(told(box(0)))
     maintenance.take_offline(box(0)["name"])
     for n in range(300):
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -12,9 +12,9 @@
 import pytest_asyncio
 
 from quota_ingress import __main__ as main_module
-from quota_ingress.net.discovery.endpoint_list import Listing
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.upstream.client import Backends, Exchange, Pool
+from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
 from tests.net_helpers import (
@@ -107,16 +107,16 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where attempts may not be cancelled: this one has not begun. And the backend is not to blame."""
-    up, connect, dialling = asyncio.Event(), Backends._connect, asyncio.Event()
+    up, connect, dialling = asyncio.Event(), UpstreamClient._connect, asyncio.Event()
 
-    async def late(self: Backends, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
         dialling.set()
         try:
             await up.wait()
         finally:
             await connect(self, pool, exchange)
 
-    monkeypatch.setattr(Backends, "_connect", late)
+    monkeypatch.setattr(UpstreamClient, "_connect", late)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await dialling.wait()
@@ -166,19 +166,19 @@
     servers = [await PeerServer().start() for _ in range(2)]
     ingress = Ingress(Gateway(SETTINGS, 1))  # type: ignore[arg-type]
     await ingress.start()
-    ingress.engine.listed(both(servers, "up", "up"))
+    ingress.engine.update_endpoints(both(servers, "up", "up"))
     yield ingress, servers
     ingress.stop()
     for server in servers:
         server.stop()
 
 
-def both(servers: list[PeerServer], *status: str) -> Listing:
+def both(servers: list[PeerServer], *status: str) -> EndpointList:
     entries = [
         {"name": f"s-{n}", "address": f"{HOST}:{server.port}", "status": state, "zone": "hall", "type": "big"}
         for n, (server, state) in enumerate(zip(servers, status, strict=True))
     ]
-    return Listing({"index": 1, "snapshot": True, "endpoints": entries})
+    return EndpointList({"index": 1, "snapshot": True, "endpoints": entries})
 
 
 @pytest.mark.parametrize("cls", ["read", "order"])
@@ -188,9 +188,9 @@
     """Its connection comes up right after the list; it never ran, so an unsafe one may go on, too."""
     ingress, servers = two
     chosen: list[str] = []
-    up, dialling, connect = asyncio.Event(), asyncio.Event(), Backends._connect
+    up, dialling, connect = asyncio.Event(), asyncio.Event(), UpstreamClient._connect
 
-    async def late(self: Backends, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
         chosen.append(pool.name)
         dialling.set()
         try:
@@ -198,7 +198,7 @@
         finally:
             await connect(self, pool, exchange)
 
-    monkeypatch.setattr(Backends, "_connect", late)
+    monkeypatch.setattr(UpstreamClient, "_connect", late)
     answer = asyncio.create_task(ingress.ask(request("r0", cls)))
     await dialling.wait()
     leaving = int(chosen[0][-1])
@@ -206,7 +206,7 @@
     states[leaving] = "draining"
     servers[1 - leaving].heard = answers(OK)
     up.set()
-    ingress.engine.listed(both(servers, *states))
+    ingress.engine.update_endpoints(both(servers, *states))
     assert (await answer).endswith(b"warm")
     assert asked(servers[leaving]) == [] and len(servers[1 - leaving].peers) == 1
     assert chosen == [f"s-{leaving}", f"s-{1 - leaving}"]
@@ -271,7 +271,7 @@
     await backend.until(lambda: asked(backend) == [b"r0"])
     ingress.listener.begin_stop()
     ingress.listener.stop_listening()
-    ingress.engine.give_up()
+    ingress.engine.fail_all()
     assert (await open_one).startswith(b"HTTP/1.1 504 ")
     writer.write(request("r1"))
     answer = await read_answer(reader)
--- a/tests/test_net_send_rules.py
+++ b/tests/test_net_send_rules.py
@@ -9,10 +9,10 @@
 import pytest
 
 from quota_ingress.net.descriptors import Share
-from quota_ingress.net.engine.attempts import Answer, Attempt, Request, Wanted
+from quota_ingress.net.engine.attempts import Attempt, AttemptResult, ParsedRequest, Request
 from quota_ingress.net.engine.send_rules import HELD_UP, Denial, denial
-from quota_ingress.net.http import Body, Room
-from quota_ingress.net.upstream.client import Backends, Exchange, Pool
+from quota_ingress.net.http import Body, MemoryBudget
+from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, RequestArrived
 from quota_ingress.policy.settings import Idempotency
@@ -37,13 +37,13 @@
 
 def connects_after(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
     """Connections to backends come up that much later."""
-    connect = Backends._connect
+    connect = UpstreamClient._connect
 
-    async def late(self: Backends, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
         await asyncio.sleep(seconds)
         await connect(self, pool, exchange)
 
-    monkeypatch.setattr(Backends, "_connect", late)
+    monkeypatch.setattr(UpstreamClient, "_connect", late)
 
 
 def told(peer: Peer) -> float:
@@ -92,12 +92,12 @@
 ) -> None:
     """Both in one turn of the loop: its task was cancelled unstarted, and never gave its place back."""
     share, ended = Share(10), list[Outcome]()
-    backends = Backends(share, 10_000_000, 250_000)
-    backends.know(entry("s-1", backend.port), 1)
+    backends = UpstreamClient(share, 10_000_000, 250_000)
+    backends.register_endpoint(entry("s-1", backend.port), 1)
     backends.send(1, b"GET / HTTP/1.1\r\n\r\n", lambda answer: ended.append(answer.outcome))
-    backends.know(entry("s-1", backend.port, "draining"), 1)
-    backends.settle(())
-    backends.know(entry("s-1", backend.port), 1)
+    backends.register_endpoint(entry("s-1", backend.port, "draining"), 1)
+    backends.reconcile(())
+    backends.register_endpoint(entry("s-1", backend.port), 1)
     given_up = backends.send(1, b"GET / HTTP/1.1\r\n\r\n", lambda answer: None)
     given_up.abort()
     await asyncio.sleep(0.05)
@@ -110,11 +110,11 @@
     rule: list[Action] = [SendAttempt(1, 1, 0), Fail(1)]  # and the attempt goes on
     world = World(Script(lambda event: rule if isinstance(event, RequestArrived) else []))
     assert world.ask()
-    room = Room()
+    room = MemoryBudget()
     body = Body(room)
     body.length = 300_000
     body.add(b"x" * 60_000)
-    world.sent[0].started(Answer(Outcome.OK, stream=body))
+    world.sent[0].started(AttemptResult(Outcome.OK, stream=body))
     body.add(b"x" * 60_000)  # read before the connection has ended
     assert world.answers == ["failed"] and world.sent[0].aborted and room.held == 0
 
@@ -124,11 +124,11 @@
 
 def made(*attempts: Attempt, over: bool = False) -> tuple[Request, Attempt]:
     """A request with these attempts, and one more that wants to begin."""
-    body = Body(Room())
+    body = Body(MemoryBudget())
     body.whole = True
-    wanted = Wanted(b"a", 0, 0, 7, 1.0, 1, 0, 1_000_000, NOW, False, b"", body)
+    wanted = ParsedRequest(b"a", 0, 0, 7, 1.0, 1, 0, 1_000_000, NOW, False, b"", body)
     asked = Request(1, wanted, World(Script()), UNTIL)
-    asked.whole_at, asked.over = NOW, over
+    asked.body_complete_at, asked.answered = NOW, over
     asked.attempts = [*attempts, Attempt(len(attempts), 1, NOW)]
     return asked, asked.attempts[-1]
 
@@ -167,5 +167,5 @@
     failed = ended(Outcome.REJECTED)
     assert denial(*made(failed, failed), CLASS, limits, NOW, UNTIL) is Denial.TOO_MANY_ATTEMPTS
     asked, attempt = made()
-    asked.wanted.body.gone = 1
+    asked.parsed.body.gone = 1
     assert denial(asked, attempt, CLASS, limits, NOW, UNTIL) is Denial.BODY_PASSED_ON
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -11,11 +11,11 @@
 import pytest
 
 from ingress_testbed.faults import Faults, build
-from quota_ingress.net.discovery.endpoint_list import Listing
-from quota_ingress.net.discovery.operator_overrides import Maintenance
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, reserve
 from quota_ingress.net.engine.engine import Engine, _mark
-from quota_ingress.net.engine.names import Names
+from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
 from quota_ingress.policy.endpoint_set import COLD_PART
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
@@ -70,14 +70,14 @@
 
 def test_the_module_hears_of_backends_that_are_older_than_they_counted_for() -> None:
     script, clock, loop = Script(), NOW, asyncio.new_event_loop()
-    engine = Engine(script, SETTINGS, Names(SETTINGS, RAW), loop, lambda: clock)
-    engine.servers = Pretended()
+    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), loop, lambda: clock)
+    engine.upstream = Pretended()
 
     def told(whole: bool, **since: int) -> dict[int, int]:
         named = [
             {"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in since.items()
         ]
-        engine.listed(Listing({"index": 1, "snapshot": whole, "endpoints": named}))
+        engine.update_endpoints(EndpointList({"index": 1, "snapshot": whole, "endpoints": named}))
         return {b.id: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
     spare = reserve(SETTINGS.safety)
@@ -131,14 +131,14 @@
     """That moment is of this machine's own clock, and makes no other backend older."""
     script, clock = Script(), NOW + off
     loop = asyncio.new_event_loop()
-    engine = Engine(script, SETTINGS, Names(SETTINGS, RAW), loop, lambda: clock)
-    engine.servers = Pretended()
-    maintenance = Maintenance(lambda: clock, engine.listed, engine.directory)
-    engine.put_back_at = maintenance.put_back_at
+    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), loop, lambda: clock)
+    engine.upstream = Pretended()
+    maintenance = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
+    engine.restored_at = maintenance.put_back_at
 
     def told(*entries: tuple[str, int], whole: bool) -> dict[str, int]:
         named = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in entries]
-        maintenance.listed(Listing({"index": 1, "snapshot": whole, "endpoints": named}))
+        maintenance.listed(EndpointList({"index": 1, "snapshot": whole, "endpoints": named}))
         return {b.hash_key: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
     told(("a", NOW - 30 * SECOND), ("b", NOW - 40 * SECOND), whole=True)
@@ -159,8 +159,8 @@
 class Pretended:
     """Takes the place of the backends' connections."""
 
-    def know(self, entry: object, backend: int) -> None: ...
-    def settle(self, gone: object) -> None: ...
+    def register_endpoint(self, entry: object, backend: int) -> None: ...
+    def reconcile(self, gone: object) -> None: ...
 
 
 @pytest.mark.parametrize("off", [0, 3600, -3600])
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -8,10 +8,10 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.discovery.endpoint_list import Listing
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.engine.attempts import Wanted
-from quota_ingress.net.http import BUFFERED, KEPT_WHOLE, Body, Room
+from quota_ingress.net.engine.attempts import ParsedRequest
+from quota_ingress.net.http import BUFFERED, KEPT_WHOLE, Body, MemoryBudget
 from quota_ingress.policy.actions import Action, Reject, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, RequestArrived, StreamStarted
 from tests.net_helpers import (
@@ -42,7 +42,7 @@
         await self.server.start()
         await self.ingress.start()
         box = {"name": "s-1", "address": f"{HOST}:{self.server.port}", "status": "up"}
-        self.ingress.engine.listed(Listing({"index": 1, "snapshot": True, "endpoints": [box]}))
+        self.ingress.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": [box]}))
 
     async def connect(self, data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection(HOST, self.ingress.port)
@@ -54,7 +54,7 @@
         return self.server.peers[-1]
 
     @property
-    def room(self) -> Room:
+    def room(self) -> MemoryBudget:
         return self.ingress.listener.room
 
 
@@ -281,7 +281,7 @@
 
 def test_a_body_is_given_time_by_its_progress() -> None:
     class Nobody:
-        room, engine = Room(), None
+        room, engine = MemoryBudget(), None
 
     connection = connection_module.ClientConnection(Nobody())  # type: ignore[arg-type]
     connection._taken, body = connection._message, connection._message.body
@@ -296,14 +296,14 @@
 
 def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
     world = World(Script(sender(timeout=300_000)))
-    body = Body(Room())
+    body = Body(MemoryBudget())
     body.length = 1_000_000
-    wanted = Wanted(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
-    assert world.engine.arrived(wanted, world)
+    wanted = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
+    assert world.engine.on_request(wanted, world)
     world.pass_time(30_000_000)  # a slow client: neither its deadline nor the attempt's runs
     assert not world.answers and not world.sent[0].aborted
     body.whole = True
-    world.engine.body_came(b"a", world.time)
+    world.engine.on_body_complete(b"a", world.time)
     world.pass_time(299_000)
     assert not world.sent[0].aborted
     world.pass_time(2_000)
--- a/tests/test_net_trace.py
+++ b/tests/test_net_trace.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from quota_ingress.net.event_log import Trace
+from quota_ingress.net.event_log import EventLog
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
 from tests.test_net_main import ask, config, listens, start
 
@@ -19,7 +19,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    quiet, loud = Trace.from_environment({}), Trace.from_environment({"EDGE_TRACE": "1"})
+    quiet, loud = EventLog.from_environment({}), EventLog.from_environment({"EDGE_TRACE": "1"})
     quiet.event("ended", "served", id=b"a")
     assert not caplog.records
     loud.event("ended", "served", id=b"a\xff", n=1)
@@ -31,7 +31,7 @@
 
 
 def test_a_violation_is_always_written(caplog: pytest.LogCaptureFixture) -> None:
-    trace = Trace()
+    trace = EventLog()
     trace.violation("request closed unanswered", requests=2)
     assert trace.violations == 1 and "request closed unanswered" in caplog.text
 
--- a/tests/test_net_watch.py
+++ b/tests/test_net_watch.py
@@ -16,7 +16,7 @@
 from quota_ingress.net.discovery import endpoint_list as listing_module
 from quota_ingress.net.discovery import retry
 from quota_ingress.net.discovery import watch as discovery_module
-from quota_ingress.net.discovery.endpoint_list import Document, Listing
+from quota_ingress.net.discovery.endpoint_list import Document, EndpointList
 from quota_ingress.net.discovery.watch import Discovery, Watch
 from tests.net_helpers import HOST, Peer, PeerServer
 from tests.test_net_main import config
@@ -63,12 +63,12 @@
 
 class Watched:
     def __init__(self, agent: Agent, index: int | None, size: int = LARGE) -> None:
-        self.told: list[Listing] = []
+        self.told: list[EndpointList] = []
         self.changed = asyncio.Event()
         self.discovery = Discovery((HOST, agent.port), index, self._changed, size)
         self.discovery.start()
 
-    def _changed(self, listing: Listing) -> None:
+    def _changed(self, listing: EndpointList) -> None:
         self.told.append(listing)
         self.changed.set()
 
@@ -77,7 +77,7 @@
             while len(self.told) < count:
                 self.changed.clear()
                 await self.changed.wait()
-        return [(x.index, x.whole, [e.name + "=" + e.status for e in x.entries]) for x in self.told]
+        return [(x.index, x.is_snapshot, [e.name + "=" + e.status for e in x.entries]) for x in self.told]
 
 
 @pytest_asyncio.fixture
@@ -322,9 +322,9 @@
     assert ingress.sources
     done, listed = asyncio.Event(), ingress.maintenance.listed
 
-    def listed_then_read(listing: Listing, kind: Any = None) -> None:
+    def listed_then_read(listing: EndpointList, kind: Any = None) -> None:
         listed(listing, kind)
-        if listing.whole:
+        if listing.is_snapshot:
             done.set()
             watches[0].data_received(chunk(text(told(43, False, leaving="up"))))
 
@@ -353,17 +353,17 @@
 
 async def test_a_change_from_the_other_process_counts_only_on_top_of_what_is_held() -> None:
     """One that skips versions would hide what lies between; one that the watch tells again is passed over."""
-    heard: list[Listing] = []
+    heard: list[EndpointList] = []
     made = Discovery((HOST, 1), 4, heard.append)
-    made.told_elsewhere(Listing(told(7, False, a="draining")), after=6)
-    made.told_elsewhere(Listing(told(4, False, a="draining")), after=3)
-    made.told_elsewhere(Listing(told(9, False, a="draining")), after=None)
+    made.told_elsewhere(EndpointList(told(7, False, a="draining")), after=6)
+    made.told_elsewhere(EndpointList(told(4, False, a="draining")), after=3)
+    made.told_elsewhere(EndpointList(told(9, False, a="draining")), after=None)
     assert not heard and made.index == 4
-    made.told_elsewhere(Listing(told(5, False, a="up")), after=4)
-    made.told_elsewhere(Listing(told(6, False, a="draining")), after=5)
-    made.told(Listing(told(5, False, a="up")))  # by the watch that was open all the time
-    made.told(Listing(told(6, False, a="draining")))
-    made.told(Listing(told(7, False, b="draining")))
+    made.told_elsewhere(EndpointList(told(5, False, a="up")), after=4)
+    made.told_elsewhere(EndpointList(told(6, False, a="draining")), after=5)
+    made.told(EndpointList(told(5, False, a="up")))  # by the watch that was open all the time
+    made.told(EndpointList(told(6, False, a="draining")))
+    made.told(EndpointList(told(7, False, b="draining")))
     assert [listing.index for listing in heard] == [5, 6, 7] and made.index == 7
-    made.told_elsewhere(Listing(told(12, True, a="up")), after=11)
-    assert heard[-1].index == 12 and heard[-1].whole
+    made.told_elsewhere(EndpointList(told(12, True, a="up")), after=11)
+    assert heard[-1].index == 12 and heard[-1].is_snapshot
