--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -14,10 +14,11 @@
 
 from ingress_testbed.model import Shape, address
 from quota_ingress.net.clock import Clock
-from quota_ingress.net.counter.client import Counter
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.counter.client import CounterClient
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.watch import Discovery
+from quota_ingress.net.discovery.watch import DiscoveryWatch
 from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
@@ -103,9 +104,11 @@
         self.engine.upstream = HollowUpstream()
         directory = self.engine.directory
         self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, directory=directory)
-        self.counter = Counter(counter, settings.counter.timeout, settings.fleet_size)
+        self.counter = CounterClient(counter, settings.counter.timeout, settings.fleet_size)
         self.engine.counter = self.counter
-        self.discovery = Discovery(discovery, None, self._listed, settings.fleet_size, directory=directory)
+        self.discovery = DiscoveryWatch(
+            discovery, None, self._listed, settings.fleet_size, directory=directory
+        )
         self._room = MemoryBudget()
         self._number = 0
 
@@ -115,7 +118,7 @@
 
     def _listed(self, listing: EndpointList) -> None:
         self.maintenance.listed(listing)
-        self.seen[listing.index] = time.monotonic()
+        self.seen[listing.version] = time.monotonic()
 
     async def asks(self, rate: float, seconds: float, customers: int, spread: int) -> None:
         """Requests at drawn moments, straight into the engine."""
--- a/ingress_testbed/probe.py
+++ b/ingress_testbed/probe.py
@@ -11,7 +11,7 @@
 
 from ingress_testbed import proc
 from ingress_testbed.model import OUTAGE, Shape, entry
-from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.policy.actions import AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import (
@@ -75,7 +75,7 @@
         text = json.dumps(raw, separators=(",", ":"))
         del raw
         before = resident()
-        read = used(lambda: EndpointList(json.loads(text)))
+        read = used(lambda: decode_endpoint_list(json.loads(text)))
         gateway, events = Gateway(settings, 1), listed(range(size), ListKind.FULL)
         whole = used(lambda: gateway.handle(0, events))
         changes = [listed(range(n, n + 1), ListKind.DELTA, started=SECOND + n) for n in range(20)]
--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -19,12 +19,18 @@
 
 from quota_ingress.net.admin import Admin
 from quota_ingress.net.clock import Clock
-from quota_ingress.net.counter.client import Counter
+from quota_ingress.net.counter.client import CounterClient
 from quota_ingress.net.descriptors import CALLERS, DescriptorBudget
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList, pack, skip
+from quota_ingress.net.discovery.endpoint_codec import (
+    decode_endpoint_list,
+    discard_listed_endpoint,
+    pack_listed_endpoint,
+)
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.retry import IN_FORCE
-from quota_ingress.net.discovery.watch import Discovery
+from quota_ingress.net.discovery.packed_entry import pack_entry, unpack_entry
+from quota_ingress.net.discovery.watch import DiscoveryWatch
+from quota_ingress.net.discovery.watch_retry import NOTIFICATION_DEADLINE
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
@@ -91,7 +97,7 @@
 def _known(raw: Any) -> EndpointList | None:
     """What was held last is a help, no more: discovery tells the list itself."""
     try:
-        return EndpointList({"index": 0, "snapshot": True, "endpoints": []} if raw is None else raw)
+        return EndpointList(0, True, {}) if raw is None else decode_endpoint_list(raw)
     except ValueError as error:
         log.warning("known: not understood, asking for the whole list: %s", error)
         return None
@@ -102,7 +108,10 @@
     start, and what was held last is of no use.
     """
     try:
-        top = json.loads(Path(path).read_text("utf-8-sig"), object_hook=skip if again else pack)
+        top = json.loads(
+            Path(path).read_text("utf-8-sig"),
+            object_hook=discard_listed_endpoint if again else pack_listed_endpoint,
+        )
         raw = top["settings"]
         admin = env.get("EDGE_ADMIN") or top.get("admin")
         return Config(
@@ -152,16 +161,19 @@
         self._pass_on, self._passed = pass_on, index
         self._discovery = self._new_discovery(config, index)
         self._counter = self._new_counter(config)
-        self._next: Discovery | None = None  # asked for its list; the one in force is kept until it comes
+        # Asked for its list; the one in force is kept until that comes.
+        self._next: DiscoveryWatch | None = None
         self._reread: asyncio.TimerHandle | None = None
         self._change: asyncio.Task[None] | None = None
         self._retiring: set[asyncio.Task[None]] = set()
         engine.counter = self._counter
         self._discovery.start()
 
-    def _new_discovery(self, config: Config, index: int | None, within: float = IN_FORCE) -> Discovery:
+    def _new_discovery(
+        self, config: Config, index: int | None, within: float = NOTIFICATION_DEADLINE
+    ) -> DiscoveryWatch:
         size = config.settings.fleet_size
-        made = Discovery(
+        made = DiscoveryWatch(
             config.discovery,
             index,
             lambda listing: self._listed(made, listing),
@@ -172,16 +184,16 @@
         )
         return made
 
-    def _new_counter(self, config: Config) -> Counter | None:
+    def _new_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
             return None
-        counter = Counter(config.counter, config.settings.counter.timeout, config.settings.fleet_size)
+        counter = CounterClient(config.counter, config.settings.counter.timeout, config.settings.fleet_size)
         counter.start()
         return counter
 
     async def listed(self, within: float) -> None:
         """Returns once discovery has told what has changed, or after that many seconds."""
-        await _within(within, self._discovery.heard)
+        await _within(within, self._discovery.first_list_received)
 
     async def counted(self, within: float) -> None:
         """Returns once the counter can be asked, or after that many seconds."""
@@ -222,19 +234,19 @@
             self._change = asyncio.get_running_loop().create_task(self._change_counter(config))
         self._config = config
 
-    def _listed(self, by: Discovery, listing: EndpointList) -> None:
+    def _listed(self, by: DiscoveryWatch, listing: EndpointList) -> None:
         """One that has been left may still read a line before it is closed: only the one in force counts."""
         if by is self._next:
             self._discovery.stop()
             self._discovery, self._next = by, None
         if by is self._discovery:
-            after, self._passed = self._passed, listing.index
+            after, self._passed = self._passed, listing.version
             if self._pass_on and len(listing.packed) <= MOST_PASSED_ON:
                 packed = dict(listing.packed)  # as told: bans are laid over it next
                 self._pass_on(
                     {
                         "discovery": list(by.address),
-                        "index": listing.index,
+                        "index": listing.version,
                         "after": after,
                         "whole": listing.is_snapshot,
                         "packed": packed,
@@ -245,14 +257,13 @@
     def listed_elsewhere(self, change: dict[str, Any]) -> None:
         """What another process of this ingress passes on, if it was told by the same discovery."""
         if tuple(change["discovery"]) == self._discovery.address:
-            raw = {"index": int(change["index"]), "snapshot": bool(change["whole"]), "endpoints": []}
-            listing = EndpointList(raw)
-            listing.packed = {
-                str(name): EndpointEntry.unpacked(str(name), packed).packed()
+            packed = {
+                str(name): pack_entry(unpack_entry(str(name), packed))
                 for name, packed in change["packed"].items()
             }
+            listing = EndpointList(int(change["index"]), bool(change["whole"]), packed)
             after = change["after"]
-            self._discovery.told_elsewhere(listing, None if after is None else int(after))
+            self._discovery.receive_from_peer(listing, None if after is None else int(after))
 
     async def _change_counter(self, config: Config) -> None:
         """Calls go to the old one until the new one is connected, or the old one is about to close."""
@@ -266,7 +277,7 @@
             raise
         self._counter = self._engine.counter = counter
         if old:
-            task = asyncio.get_running_loop().create_task(old.retire())
+            task = asyncio.get_running_loop().create_task(old.drain())
             self._retiring.add(task)
             task.add_done_callback(self._retiring.discard)
 
@@ -325,7 +336,7 @@
         if known:
             self.maintenance.listed(known, ListKind.CACHED)
         pass_on = self.handover.pass_on if self.handover else None
-        index = known.index if known else None
+        index = known.version if known else None
         self.sources = Sources(self.engine, self.maintenance, config, index, pass_on)
         changes, self._changes = self._changes, []
         for change in changes:
--- a/quota_ingress/net/counter/client.py
+++ b/quota_ingress/net/counter/client.py
@@ -42,7 +42,7 @@
 class Call:
     __slots__ = ("answered", "at", "line", "number", "ping", "reread")
 
-    def __init__(self, line: CounterLine, answered: Answered | None, at: float, number: int) -> None:
+    def __init__(self, line: CounterConnection, answered: Answered | None, at: float, number: int) -> None:
         self.line, self.answered, self.at = line, answered, at  # None: a ping, or a call that was given up
         self.number = number
         self.ping = answered is None
@@ -54,7 +54,7 @@
             answered(outcome, total)
 
 
-class Counter:
+class CounterClient:
     """A few connections, so that a spoilt answer or a stall on one takes only its own calls with it."""
 
     def __init__(self, address: tuple[str, int], timeout_us: int, fleet_size: int = 1) -> None:
@@ -62,7 +62,7 @@
         self.address, self.timeout = address, WAIT * timeout_us / 1e6
         self.connected = asyncio.Event()  # set once the first connection is up
         self._progress = Progress()
-        self._lines: list[CounterLine] = []
+        self._lines: list[CounterConnection] = []
         self._homes: dict[int, Call] = {}  # by name, the last call unanswered: the next follows on its line
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -76,7 +76,7 @@
         for line in self._lines:
             line.transport.abort()
 
-    async def retire(self) -> None:
+    async def drain(self) -> None:
         """Another takes its place: lets the calls under way end, within a while, and stops."""
         for task in self._tasks:
             task.cancel()
@@ -127,7 +127,7 @@
     async def _keep_connected(self) -> None:
         tries = Backoff(*BACK_OFF)
         while True:
-            line = CounterLine(self.timeout, self._progress)
+            line = CounterConnection(self.timeout, self._progress)
             try:
                 await dial(line, self.address, CONNECT_TIMEOUT)
             except OSError:
@@ -143,7 +143,7 @@
             await asyncio.sleep(tries.next_wait())
 
 
-class CounterLine(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection. A call that has timed out keeps its place, so that its late answer is dropped and the
     next is not taken for it.
     """
--- a/quota_ingress/net/discovery/directory.py
+++ b/quota_ingress/net/discovery/directory.py
@@ -1,61 +1,82 @@
-"""All backends that are listed, as the rest of the ingress has been told: the one table of every name.
-
-A backend takes some 200 bytes here, whatever else is kept of those that the ingress holds.
-"""
+"""All listed endpoints as the rest of the ingress has been notified of them: the one table of every name."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterator, Mapping
 
-from quota_ingress.net.discovery.endpoint_list import REMOVED, UP, EndpointEntry, EndpointList
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.packed_entry import (
+    PackedEntry,
+    is_ready,
+    is_removed,
+    pack_entry,
+    unpack_entry,
+)
 
 log = logging.getLogger(__name__)
 
 
 class EndpointDirectory(Mapping[str, EndpointEntry]):
-    """By name. A change costs as much as it changes."""
+    """Endpoints by name, held in packed form. A delta costs as much as it changes.
+
+    Attributes:
+        ready_count: How many endpoints take requests.
+    """
 
     def __init__(self) -> None:
-        self.up = 0  # backends that take requests
-        self._packed: dict[str, str] = {}
-
-    def take(self, listing: EndpointList) -> None:
-        """Takes in a list or what changed of one. A whole list is this table's own from then on."""
-        if listing.is_snapshot:
-            self._packed = listing.packed
-            for name in [n for n, packed in self._packed.items() if packed[0] == REMOVED]:
-                del self._packed[name]
-            self.up = sum(packed[0] == UP for packed in self._packed.values())
-            return
-        unknown = []
-        for name, packed in listing.packed.items():
-            self.up += (packed[0] == UP) - self.is_up(name)
-            if packed[0] != REMOVED:
+        self.ready_count = 0
+        self._packed: dict[str, PackedEntry] = {}
+
+    def apply(self, endpoint_list: EndpointList) -> None:
+        """Takes in a list or a change of it. The table takes over the entries of a snapshot as its own."""
+        if endpoint_list.is_snapshot:
+            self._replace_all(endpoint_list.packed)
+        else:
+            self._apply_delta(endpoint_list.packed)
+
+    def _replace_all(self, entries: dict[str, PackedEntry]) -> None:
+        for name in [name for name, packed in entries.items() if is_removed(packed)]:
+            del entries[name]
+        self._packed = entries
+        self.ready_count = sum(is_ready(packed) for packed in entries.values())
+
+    def _apply_delta(self, changes: dict[str, PackedEntry]) -> None:
+        unknown: list[str] = []
+        for name, packed in changes.items():
+            self.ready_count += is_ready(packed) - self.is_ready(name)
+            if not is_removed(packed):
                 self._packed[name] = packed
             elif self._packed.pop(name, None) is None:
                 unknown.append(name)
         if unknown:
             log.info("discovery: %d removed that were not listed, such as %s", len(unknown), unknown[0])
 
-    def is_up(self, name: str) -> bool:
-        """Whether it is listed and takes requests."""
-        return self._packed.get(name, REMOVED)[0] == UP
+    def is_ready(self, name: str) -> bool:
+        """Returns whether the endpoint is listed and takes requests."""
+        packed = self._packed.get(name)
+        return packed is not None and is_ready(packed)
+
+    def pack_shared(self, entry: EndpointEntry) -> PackedEntry:
+        """Returns the packed form of `entry`: the string held here, where it has not changed.
 
-    def packed(self, entry: EndpointEntry) -> str:
-        """The entry, packed: the same string as here, where it has not changed, so that a whole list that is
-        told anew takes little beside this one.
+        A snapshot that repeats the list takes little memory beside this table.
         """
-        packed = entry.packed()
+        packed = pack_entry(entry)
         held = self._packed.get(entry.name)
         return held if held == packed else packed
 
-    def text(self, name: str) -> str:
-        """The entry, packed. KeyError if it is not listed."""
+    def packed_entry(self, name: str) -> PackedEntry:
+        """Returns the packed entry of endpoint `name`.
+
+        Raises:
+            KeyError: It is not listed.
+        """
         return self._packed[name]
 
     def __getitem__(self, name: str) -> EndpointEntry:
-        return EndpointEntry.unpacked(name, self._packed[name])
+        return unpack_entry(name, self._packed[name])
 
     def __contains__(self, name: object) -> bool:
         return name in self._packed
--- /dev/null
+++ b/quota_ingress/net/discovery/list_parser.py
@@ -0,0 +1,146 @@
+"""Parser of the lines in which discovery sends endpoint lists.
+
+A list is mostly one line, but an indented one has many. Short lists are decoded when they are complete; one
+that grows long is handed to an `IncrementalListReader`.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+from enum import Enum, auto
+from typing import Any
+
+from quota_ingress.net.discovery.endpoint_codec import (
+    EndpointListError,
+    as_list_error,
+    decode_endpoint_list,
+)
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.incremental_reader import (
+    MAX_UNREAD_BYTES,
+    IncrementalListReader,
+    PackEntry,
+)
+from quota_ingress.net.discovery.packed_entry import pack_entry
+
+INCREMENTAL_THRESHOLD_BYTES = 256 * 1024
+
+_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+
+
+class LineResult(Enum):
+    """What the end of a line means that completes no list."""
+
+    HEARTBEAT = auto()  # an empty line between lists
+    INCOMPLETE = auto()  # the list goes on
+
+
+class EndpointListParser:
+    """Turns lines, which come in parts, into endpoint lists.
+
+    The parser is between lists, or buffers the lines of a short one, or has handed a long one to a reader.
+    """
+
+    def __init__(self, pack: PackEntry = pack_entry) -> None:
+        """Packs the entries of long lists with `pack`."""
+        self._pack = pack
+        self._reset()
+
+    def _reset(self) -> None:
+        self._lines: list[bytes] = []  # complete lines of a list that goes on
+        self._partial_line: list[bytes] = []  # parts of the line that has not ended; empty with a reader
+        self._is_line_blank = True  # of the line that has not ended
+        self._buffered_bytes = 0
+        self._open_brackets = 0
+        self._reader: IncrementalListReader | None = None
+
+    @property
+    def has_partial_list(self) -> bool:
+        """Whether some of a list has come, but not its end."""
+        return bool(self._lines or self._reader) or not self._is_line_blank
+
+    def feed(self, data: bytes) -> None:
+        """Takes some of a line that goes on.
+
+        Raises:
+            EndpointListError: This cannot be a list.
+        """
+        self._is_line_blank = self._is_line_blank and not data.strip()
+        if self._reader:
+            self._reader.feed(data)
+        elif data:
+            self._partial_line.append(data)
+            self._buffered_bytes += len(data)
+            self._start_reader_if_long()
+
+    def end_line(self, data: bytes) -> EndpointList | LineResult:
+        """Takes the rest of a line, and returns the list that it completes, if it does.
+
+        Raises:
+            EndpointListError: This is no list.
+        """
+        if self._reader:
+            return self._end_line_of_reader(self._reader, data)
+        line = b"".join([*self._partial_line, data])
+        self._buffered_bytes -= sum(map(len, self._partial_line))
+        self._partial_line = []
+        self._is_line_blank = True
+        if not self._lines and not line.strip():
+            return LineResult.HEARTBEAT
+        document = self.add_line(line)
+        return LineResult.INCOMPLETE if document is None else decode_endpoint_list(document)
+
+    def _end_line_of_reader(self, reader: IncrementalListReader, data: bytes) -> EndpointList | LineResult:
+        is_blank = self._is_line_blank and not data.strip()
+        reader.feed(data + b"\n", line_ended=True)
+        self._is_line_blank = True
+        if reader.is_complete:
+            self._reset()
+            return reader.endpoint_list
+        if is_blank:
+            raise EndpointListError("endpoint list: an empty line before its end")
+        return LineResult.INCOMPLETE
+
+    def add_line(self, line: bytes) -> Any:
+        """Returns the JSON document that a complete line ends, or None where more lines are to come."""
+        if not self._lines:
+            try:
+                return json.loads(line)
+            except ValueError as error:
+                if _bracket_balance(line) <= 0:
+                    raise as_list_error(error) from None
+        self._lines.append(line)
+        self._buffered_bytes += len(line)
+        self._open_brackets += _bracket_balance(line)
+        if self._open_brackets > 0 and line.strip() and self._buffered_bytes <= MAX_UNREAD_BYTES:
+            self._start_reader_if_long()
+            return None
+        text = b"\n".join(self._lines)
+        self._reset()
+        try:
+            return json.loads(text)
+        except ValueError as error:
+            raise as_list_error(error) from None
+
+    def _start_reader_if_long(self) -> None:
+        """Hands a list that has grown long to a reader."""
+        if self._buffered_bytes <= INCREMENTAL_THRESHOLD_BYTES:
+            return
+        self._reader = IncrementalListReader(self._pack)
+        lines = self._lines
+        partial_line = self._partial_line
+        self._lines = []
+        self._partial_line = []
+        for line in lines:
+            self._reader.feed(line + b"\n")
+        for part in partial_line:
+            self._reader.feed(part)
+
+
+def _bracket_balance(line: bytes) -> int:
+    """Returns how many more brackets and braces the line opens than it closes, outside strings."""
+    without_strings = _STRING.sub(b"", line)  # a string never goes over the end of a line
+    opened = without_strings.count(b"{") + without_strings.count(b"[")
+    closed = without_strings.count(b"}") + without_strings.count(b"]")
+    return opened - closed
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -4,12 +4,16 @@
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import replace
 from itertools import islice
 from typing import Any
 
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import REMOVED, EndpointEntry, EndpointList
-from quota_ingress.policy.endpoint_list import ListKind
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
+from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
 Tell = Callable[[EndpointList, ListKind | None], None]
 GONE = 5000  # names removed last that operators may still call by: of the largest fleet those of six hours
@@ -32,7 +36,7 @@
         self._directory = EndpointDirectory() if directory is None else directory
         self._named: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
         self._gone: OrderedDict[str, None] = OrderedDict()
-        self._coming: dict[str, str] = {}  # packed: told by the process that this one takes over from
+        self._coming: dict[str, PackedEntry] = {}  # packed: told by the process that this one takes over from
 
     @property
     def entries(self) -> Mapping[str, EndpointEntry]:
@@ -42,7 +46,7 @@
     def listed(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """A change costs as much as it changes."""
         packed, directory = listing.packed, self._directory
-        left: Iterable[str] = (n for n in packed if packed[n][0] == REMOVED)
+        left: Iterable[str] = (n for n in packed if is_removed(packed[n]))
         if listing.is_snapshot:
             self._named.clear()
             left = [*left, *(n for n in directory if n not in packed)]
@@ -51,10 +55,10 @@
             self._remember(name)
         few = packed.keys() & (self.out | self.back.keys()) if listing.is_snapshot else packed.keys()
         for name in few:
-            if packed[name][0] != REMOVED and (name in self.out or name in self.back):
-                self._named[name] = EndpointEntry.unpacked(name, packed[name])
-                packed[name] = self._laid_over(self._named[name]).packed()
-        self.index = listing.index
+            if not is_removed(packed[name]) and (name in self.out or name in self.back):
+                self._named[name] = unpack_entry(name, packed[name])
+                packed[name] = pack_entry(self._laid_over(self._named[name]))
+        self.index = listing.version
         self._pass_on(listing, kind)
 
     def described(self) -> dict[str, Any]:
@@ -67,12 +71,15 @@
         """The list that `described` counts, some entries at a time, packed: all at once take much memory."""
         names = iter(self._directory)
         while some := list(islice(names, PART)):
-            yield {n: self._named[n].packed() if n in self._named else self._directory.text(n) for n in some}
+            yield {
+                n: pack_entry(self._named[n]) if n in self._named else self._directory.packed_entry(n)
+                for n in some
+            }
 
     def take_part(self, part: dict[str, str]) -> None:
         """Some of the other process's list, before it is taken up."""
         for name, packed in part.items():
-            self._coming[name] = EndpointEntry.unpacked(name, packed).packed()
+            self._coming[name] = pack_entry(unpack_entry(name, packed))
 
     def take_up(self, told: dict[str, Any]) -> EndpointList:
         """The other process's list, once what operators asked of it holds here, too. ValueError if some of
@@ -80,10 +87,9 @@
         """
         coming, self._coming = self._coming, {}
         if "listing" in told:  # by a process of an earlier version
-            listing = EndpointList(told["listing"])
+            listing = decode_endpoint_list(told["listing"])
         elif len(coming) == told["listed"]["count"]:
-            listing = EndpointList({"index": told["listed"]["index"], "snapshot": True, "endpoints": []})
-            listing.packed = coming
+            listing = EndpointList(int(told["listed"]["index"]), True, coming)
         else:
             raise ValueError(f"{len(coming)} backends of {told['listed']['count']}")
         out, back = {str(n) for n in told["out"]}, {str(n): int(at) for n, at in told["back"].items()}
@@ -136,20 +142,20 @@
     def _changed(self, name: str) -> None:
         if name in self._directory:
             entry = self._named.setdefault(name, self._directory[name])
-            self._pass_on(EndpointList.of(self.index, False, [self._laid_over(entry)]), None)
+            self._pass_on(EndpointList.from_entries(self.index, False, [self._laid_over(entry)]), None)
 
     def _pass_on(self, listing: EndpointList, kind: ListKind | None) -> None:
         if self._keeps:
-            self._directory.take(listing)
+            self._directory.apply(listing)
         self._tell(listing, kind)
 
     def _laid_over(self, entry: EndpointEntry) -> EndpointEntry:
         """Moments of two clocks are never compared: what operators did counts until another start is told."""
-        if entry.status == "up" and entry.name in self.out:
-            return entry.replaced(status="draining")
+        if entry.state is EndpointState.READY and entry.name in self.out:
+            return replace(entry, state=EndpointState.DRAINING)
         if entry.name not in self.back:
             return entry
         if self._since.setdefault(entry.name, entry.started_us) != entry.started_us:
             del self.back[entry.name], self._since[entry.name]
             return entry
-        return entry.replaced(since_us=self.back[entry.name])
+        return replace(entry, started_us=self.back[entry.name])
--- /dev/null
+++ b/quota_ingress/net/discovery/packed_entry.py
@@ -0,0 +1,69 @@
+"""Compact form of an endpoint's entry: one string in place of an object with eight fields.
+
+A process of 64 MB has to hold a list of 90,000 endpoints, for which objects are too large:
+
+    <state><port> <group> <weight> <started> <host length> <zone length> <host><zone><kind>
+
+`state` is one character; `started` is in hexadecimal; lengths count characters. The endpoint's name is not
+part of it: it is the key under which the string is kept. Processes of an upgrade exchange entries in this
+form, so it must not change between versions.
+"""
+
+from __future__ import annotations
+
+from typing import NewType
+
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.policy.endpoint_list import EndpointState
+
+PackedEntry = NewType("PackedEntry", str)
+
+_READY_CODE = "u"
+_DRAINING_CODE = "d"
+_REMOVED_CODE = "r"
+_STATE_BY_CODE = {
+    _READY_CODE: EndpointState.READY,
+    _DRAINING_CODE: EndpointState.DRAINING,
+    _REMOVED_CODE: EndpointState.REMOVED,
+}
+_CODE_BY_STATE = {state: code for code, state in _STATE_BY_CODE.items()}
+_NUMBER_FIELDS = 6
+
+
+def pack_entry(entry: EndpointEntry) -> PackedEntry:
+    """Returns the packed form of `entry`, without its name."""
+    host, port = entry.address
+    code = _CODE_BY_STATE[entry.state]
+    numbers = f"{port} {entry.group} {entry.weight!r} {entry.started_us:x} {len(host)} {len(entry.zone)}"
+    return PackedEntry(f"{code}{numbers} {host}{entry.zone}{entry.kind}")
+
+
+def unpack_entry(name: str, packed: str) -> EndpointEntry:
+    """Returns the entry of endpoint `name`.
+
+    Raises:
+        ValueError: `packed` is no packed entry. KeyError or IndexError are possible, too.
+    """
+    port, group, weight, started, host_length, zone_length, words = packed[1:].split(" ", _NUMBER_FIELDS)
+    zone_start = int(host_length)
+    kind_start = zone_start + int(zone_length)
+    return EndpointEntry(
+        name=name,
+        state=_STATE_BY_CODE[packed[0]],
+        address=(words[:zone_start], int(port)),
+        zone=words[zone_start:kind_start],
+        kind=words[kind_start:],
+        group=int(group),
+        weight=float(weight),
+        started_us=int(started, 16),
+    )
+
+
+def is_ready(packed: PackedEntry) -> bool:
+    """Returns whether the endpoint takes requests."""
+    return packed[0] == _READY_CODE
+
+
+def is_removed(packed: PackedEntry) -> bool:
+    """Returns whether the entry announces that the endpoint has been removed."""
+    return packed[0] == _REMOVED_CODE
--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -9,7 +9,7 @@
 
 The lower one counts, from the first telling of a start on; the second grows as later starts are told. As
 starts are told late, the wall clock is taken at its word beyond the second one, but only for the time by
-which all ages may be wrong without a cold backend getting more than its budget (`reserve`).
+which all ages may be wrong without a cold backend getting more than its budget (`age_tolerance`).
 
 So a clock that is ahead makes no cold backend warm, and one that is behind keeps a warm one cold for one ramp
 at the longest, as its age grows from the telling on. A start that is told as earlier than the same backend's
@@ -61,7 +61,7 @@
                 older.append(name)
         return older
 
-    def local(self, name: str, told: int, now: int) -> int:
+    def local_start(self, name: str, told: int, now: int) -> int:
         """The moment of that start on this process's clock: the latest that it can have been, by what is
         known so far. `told`: LONG_AGO, or a moment of the fleet's clock.
         """
@@ -89,7 +89,7 @@
         return max(start.told - self._ahead - self._reserve, start.by_wall_clock, 1)
 
 
-def reserve(safety: Safety) -> int:
+def age_tolerance(safety: Safety) -> int:
     """Us of a ramp that the unused part of the cold budget (COLD_PART) covers, at its very start."""
     if safety.initial_capacity_fraction >= 1:
         return 0
--- a/quota_ingress/net/discovery/watch.py
+++ b/quota_ingress/net/discovery/watch.py
@@ -1,193 +1,129 @@
-"""The watch on the list of backends: opened from the version held, and anew when it ends or falls silent."""
+"""The watch on the endpoint list: opened from the version held, and anew whenever it ends or falls silent."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Callable
-from typing import cast
-
-import httptools
 
 from quota_ingress.net.dial import dial
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import Document, EndpointList, Line
-from quota_ingress.net.discovery.retry import CONNECT_TIMEOUT, IN_FORCE, SILENT, Ended, RetryPolicy
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.watch_connection import WatchConnection
+from quota_ingress.net.discovery.watch_retry import (
+    CONNECT_TIMEOUT,
+    NOTIFICATION_DEADLINE,
+    CallEnd,
+    WatchRetryPolicy,
+)
 from quota_ingress.net.event_log import EventLog
-from quota_ingress.net.http import MAX_HEAD
 
-log = logging.getLogger(__name__)
 
+class DiscoveryWatch:
+    """Keeps the endpoint list up to date with one discovery.
 
-class Discovery:
-    """`index` is the version held; with none, the whole list is asked for first."""
+    Attributes:
+        address: Host and port of the discovery.
+        version: The version of the list held, or None without a list.
+        directory: The list held, if it may be long; its strings are shared with lists that repeat it.
+        first_list_received: Set once a list or a change has come.
+        retry: Decides on waits and timeouts of the calls.
+    """
 
     def __init__(
         self,
         address: tuple[str, int],
-        index: int | None,
-        changed: Callable[[EndpointList], None],
+        version: int | None,
+        on_list: Callable[[EndpointList], None],
         fleet_size: int = 1,
-        within: float = IN_FORCE,
+        first_deadline: float = NOTIFICATION_DEADLINE,
         directory: EndpointDirectory | None = None,
         trace: EventLog | None = None,
     ) -> None:
-        """`within`: s in which the first list has to be told, where discovery has it and can be reached;
-        `directory`: the list held, if it may be long.
+        """Makes no call before `start`.
+
+        Args:
+            address: Host and port of the discovery.
+            version: The version of the list held; without one, a snapshot is fetched first.
+            on_list: Called with each list and each change of it.
+            fleet_size: Ingresses that share the discovery.
+            first_deadline: Seconds in which the first list has to come, where discovery can be reached.
+            directory: The list held, if it may be long.
+            trace: Receives an event for each list and for the end of each call.
         """
-        self.address, self.index, self._changed = address, index, changed
+        self.address = address
+        self.version = version
         self.directory = directory
+        self.first_list_received = asyncio.Event()
+        self.retry = WatchRetryPolicy(fleet_size, first_deadline)
+        self._on_list = on_list
         self._trace = trace or EventLog()
-        self._elsewhere = 0  # the version that the other process of an upgrade was told last, if it counts
-        self.heard = asyncio.Event()  # set once a list has been told
-        self.retry = RetryPolicy(fleet_size, within)
+        self._peer_version = 0  # of the last list from the other process of an upgrade; 0 once superseded
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Opens the watch in a task of its own."""
         self._task = asyncio.get_running_loop().create_task(self._keep_watching())
 
     def stop(self) -> None:
+        """Ends the watch and its connection."""
         if self._task:
             self._task.cancel()
 
-    def told_elsewhere(self, listing: EndpointList, after: int | None) -> None:
-        """The other process of an upgrade has been told this by the same discovery, a change on top of the
-        version `after`. One that is not on top of what is held here would hide what lies between. The watch
-        that is open here may yet tell it, and those before it: they are passed over then.
+    def receive_from_peer(self, endpoint_list: EndpointList, base_version: int | None) -> None:
+        """Takes a list that the other process of an upgrade received from the same discovery.
+
+        A change whose base is not held here would hide what lies between, and is ignored. The watch that is
+        open here may bring the change again, and those before it: `receive` ignores them.
+
+        Args:
+            endpoint_list: The list or the change.
+            base_version: The version that the change builds on; None if the peer held none.
         """
-        if self.index is None or listing.index <= self.index:
+        if self.version is None or endpoint_list.version <= self.version:
             return
-        if listing.is_snapshot or (after is not None and after <= self.index):
-            self.told(listing)
-            self._elsewhere = listing.index
-
-    def told(self, listing: EndpointList) -> None:
-        if not listing.is_snapshot and listing.index <= self._elsewhere:
+        is_base_held = base_version is not None and base_version <= self.version
+        if endpoint_list.is_snapshot or is_base_held:
+            self.receive(endpoint_list)
+            self._peer_version = endpoint_list.version
+
+    def receive(self, endpoint_list: EndpointList) -> None:
+        """Takes a list or a change from the watch, unless the peer has brought it already."""
+        if not endpoint_list.is_snapshot and endpoint_list.version <= self._peer_version:
             return
-        self._elsewhere = 0
-        kind = "whole list" if listing.is_snapshot else "change"
-        self._trace.event("discovery told", kind, index=listing.index, entries=len(listing.packed))
-        self.index = listing.index
-        self._changed(listing)
-        self.heard.set()
+        self._peer_version = 0
+        self._trace.event(
+            "endpoint list received",
+            "snapshot" if endpoint_list.is_snapshot else "delta",
+            version=endpoint_list.version,
+            entries=len(endpoint_list.packed),
+        )
+        self.version = endpoint_list.version
+        self._on_list(endpoint_list)
+        self.first_list_received.set()
 
     async def _keep_watching(self) -> None:
-        loop, retry, whole = asyncio.get_running_loop(), self.retry, self.index is None
+        loop = asyncio.get_running_loop()
+        needs_snapshot = self.version is None
         while True:
-            ended = Ended.CUT
-            retry.calls(loop.time())
-            watch = Watch(self, whole)
-            try:
-                await dial(watch, self.address, CONNECT_TIMEOUT)
-            except OSError:
-                pass
-            else:
-                try:
-                    await watch.closed.wait()
-                finally:
-                    watch.transport.abort()
-                ended = watch.ended
-                if watch.heard:
-                    retry.well(ended)
-            self._trace.event("discovery call ended", ended.name.lower().replace("_", " "), index=self.index)
-            whole = ended is Ended.UNTOLD or self.index is None  # the next watch may say nothing, either
-            if wait := retry.wait(ended, loop.time()):
+            self.retry.on_call(loop.time())
+            end = await self._call(needs_snapshot)
+            self._trace.event("discovery call ended", end.name.lower(), version=self.version)
+            # After an empty answer, the next watch may stay empty, too.
+            needs_snapshot = end is CallEnd.EMPTY or self.version is None
+            if wait := self.retry.next_wait(end, loop.time()):
                 await asyncio.sleep(wait)
 
-
-class Watch(asyncio.Protocol):
-    transport: asyncio.Transport
-
-    def __init__(self, discovery: Discovery, whole: bool) -> None:
-        """`whole`: the whole list is asked for first, and the watch goes on from its version."""
-        self.heard, self.closed, self.ended = False, asyncio.Event(), Ended.CUT
-        self._discovery, self._loop = discovery, asyncio.get_running_loop()
-        self._parser = httptools.HttpResponseParser(self)
-        self._timer: asyncio.TimerHandle | None = None
-        self._head, self._last, self._silence = 0, 0.0, SILENT
-        self._body: list[bytes] = []  # what has come of it and was not read yet
-        self._document = Document(discovery.directory.packed if discovery.directory is not None else None)
-        self._watching, self._whole, self._told = not whole, False, False  # by this answer
-        self._ended = False  # in order
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
-        self._last = self._loop.time()
-        self._silence = self._discovery.retry.silence(self._last)
-        self._ask()
-        self._check()
-
-    def _ask(self) -> None:
-        (host, port), index = self._discovery.address, self._discovery.index
-        target = "/discovery/hosts" + (f"?watch=1&from={index}" if self._watching else "")
-        self._head, self._told = 0, False
-        self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-
-    def data_received(self, data: bytes) -> None:
-        self._last, self._silence = self._loop.time(), SILENT
+    async def _call(self, needs_snapshot: bool) -> CallEnd:
+        """Makes one call and returns how it ended, however long it stays open."""
+        connection = WatchConnection(self, needs_snapshot)
         try:
-            self._parser.feed_data(data)
-            if self._parser.get_status_code() >= 300:
-                self._end(Ended.TURNED_AWAY, "not a list")
-                return
-            if self._head >= 0:
-                self._head += len(data)
-            if self._head > MAX_HEAD:
-                raise ValueError("too long")
-            body, self._body = self._body, []
-            for part in body:
-                *ends, begun = part.split(b"\n")
-                for end in ends:
-                    self._line(end)
-                self._document.part(begun)
-            if self._whole:
-                self._line(b"")  # a list need not end its line
-                self._whole, self._watching = False, True
-                if self._document.begun or not self._told:
-                    raise ValueError("no whole list")
-                self._ask()
-            elif self._ended:
-                self.ended = Ended.CUT if self._told else Ended.UNTOLD
-                self.transport.close()
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError, RecursionError) as error:
-            self._end(Ended.UNREADABLE, str(error))
-
-    def _line(self, end: bytes) -> None:
-        """A line has come to its end."""
-        read = self._document.end(end)
-        if read is Line.MORE or (read is Line.BEAT and not self._watching):
-            return
-        if isinstance(read, EndpointList):
-            self._discovery.told(read)
-        self.heard = self._told = True
-        self._discovery.retry.heard(self._last)
-
-    def _end(self, how: Ended, why: str) -> None:
-        log.warning("discovery: %s", why)
-        self.ended = how
-        self.transport.abort()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self._timer:
-            self._timer.cancel()
-        self.closed.set()
-
-    def _check(self) -> None:
-        """A cut-off discovery says nothing and the connection stays open: missing beats are the only sign."""
-        left = self._last + self._silence - self._loop.time()
-        if left <= 0:
-            self._end(Ended.SILENT, f"silent for {round(self._silence, 1):g} s, watching anew")
-            return
-        self._timer = self._loop.call_later(left, self._check)
-
-    def on_headers_complete(self) -> None:
-        self._head = -1
-
-    def on_body(self, part: bytes) -> None:
-        self._body.append(part)
-
-    def on_message_complete(self) -> None:
-        if self._watching:
-            self._ended = True
-            return
-        self._whole = True
+            await dial(connection, self.address, CONNECT_TIMEOUT)
+        except OSError:
+            return CallEnd.DISCONNECTED
+        try:
+            await connection.closed.wait()
+        finally:
+            connection.transport.abort()
+        if connection.has_message:
+            self.retry.on_call_success(connection.end)
+        return connection.end
--- a/quota_ingress/net/engine/attempts.py
+++ b/quota_ingress/net/engine/attempts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.http import Body
 from quota_ingress.policy.events import NEVER_RAN, Outcome
 
@@ -82,7 +82,7 @@
 Answered = Callable[[Outcome, float], None]
 
 
-class CounterClient(Protocol):
+class CounterService(Protocol):
     """The counter that all gateways share."""
 
     def add(self, name: int, amount: float, ttl_us: int, answered: Answered) -> None:
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -11,14 +11,15 @@
 from typing import Any, Protocol
 
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
-from quota_ingress.net.discovery.start_times import StartTimes, reserve
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.start_times import StartTimes, age_tolerance
 from quota_ingress.net.engine import snapshot_codec
 from quota_ingress.net.engine.attempts import (
     Attempt,
     AttemptResult,
     Client,
-    CounterClient,
+    CounterService,
     Loop,
     ParsedRequest,
     Request,
@@ -57,7 +58,6 @@
 
 ANSWER_MARGIN = 10_000  # us before the client's deadline by which its answer is on the way
 LAST_ATTEMPT = 15_000  # us before it by which no attempt is waited for any longer
-STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
 
 log = logging.getLogger(__name__)
 
@@ -90,7 +90,7 @@
         self.settings, self.names, self.now = settings, names, now
         self.trace = trace or EventLog()
         self.upstream: Upstream
-        self.counter: CounterClient | None = None
+        self.counter: CounterService | None = None
         self.in_flight = 0  # requests not yet answered
         self.ending = False  # the process is: what comes now is refused, as no answer would come in time
         self._gateway, self._loop = gateway, loop
@@ -101,7 +101,7 @@
         self._longest = max(c.deadline for c in settings.classes)
         self.directory = EndpointDirectory()
         self.restored_at: Callable[[str], int] = lambda name: 0  # us, by operators; 0: it has not been
-        self._starts = StartTimes(reserve(settings.safety))
+        self._starts = StartTimes(age_tolerance(settings.safety))
         self._subset = deal(
             settings.gateway_index, settings.fleet_size, 0
         )  # what of it is told to the module
@@ -200,9 +200,11 @@
     def update_endpoints(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """The module hears first, then attempts are withdrawn: what it sends anew goes by the new list."""
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
-        self.directory.take(listing)
+        self.directory.apply(listing)
         before = self._subset
-        self._subset = deal(self.settings.gateway_index, self.settings.fleet_size, self.directory.up, before)
+        self._subset = deal(
+            self.settings.gateway_index, self.settings.fleet_size, self.directory.ready_count, before
+        )
         changed: Iterable[str] = listing.packed
         if listing.is_snapshot:
             changed = [*self.directory, *(n for n in self._backends if n not in self.directory)]
@@ -225,8 +227,8 @@
         listed = [self._listed_backend(entry, number, now) for entry, number in found]
         if not listing.is_snapshot:
             listed += [ListedEndpoint(n, EndpointState.REMOVED, 0, 0, 0, 1.0, 0) for n in gone]
-        ready = self.directory.up if self._subset.held > 1 else 0
-        self._events.append(EndpointsListed(kind, listing.index, tuple(listed), ready))
+        ready = self.directory.ready_count if self._subset.held > 1 else 0
+        self._events.append(EndpointsListed(kind, listing.version, tuple(listed), ready))
         self.upstream.reconcile(gone)
         self._drain()
 
@@ -234,7 +236,7 @@
         """One that is draining is not taken in for its place in the subset, but stays where it was."""
         if name not in self.directory or not self._subset.holds(_mark(name)):
             return False
-        return self._subset.held == 1 or name in self._backends or self.directory.is_up(name)
+        return self._subset.held == 1 or name in self._backends or self.directory.is_ready(name)
 
     def _tell(self, name: str, found: list[tuple[EndpointEntry, int]], gone: list[int]) -> None:
         if self._holds(name):
@@ -244,7 +246,7 @@
             entry, number = self.directory[name], self._backends[name]
             found.append((entry, number))
             self.upstream.register_endpoint(entry, number)
-            (self._up.add if entry.status == "up" else self._up.discard)(name)
+            (self._up.add if entry.state is EndpointState.READY else self._up.discard)(name)
         elif number := self._backends.pop(name, 0):
             gone.append(number)
             self._up.discard(name)
@@ -514,9 +516,9 @@
         zone, kind = self.names.zones.get(entry.zone, 0), self.names.kinds.get(entry.kind, 0)
         started = entry.started_us  # of this process's clock already, where operators put it back
         if started != self.restored_at(entry.name):
-            started = self._starts.local(entry.name, entry.started_us, now)
+            started = self._starts.local_start(entry.name, entry.started_us, now)
         return ListedEndpoint(
-            number, STATES[entry.status], zone, entry.group, kind, entry.weight, started, _mark(entry.name)
+            number, entry.state, zone, entry.group, kind, entry.weight, started, _mark(entry.name)
         )
 
 
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -12,10 +12,11 @@
 import httptools
 
 from quota_ingress.net.descriptors import Share
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.engine.attempts import AttemptResult
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import BUFFERED, KERNEL_BUFFER, SLICE, Body, HttpConnection, MemoryBudget, Message
+from quota_ingress.policy.endpoint_list import EndpointState
 from quota_ingress.policy.events import Outcome
 
 IDLE_PART = 0.75  # of the time after which a backend closes an idle connection: ours is closed by then
@@ -380,7 +381,7 @@
             room,
         )
         self.now = asyncio.get_running_loop().time
-        self.ready, self.started = entry.status == "up", entry.started_us
+        self.ready, self.started = entry.state is EndpointState.READY, entry.started_us
         self.idle: list[Link] = []  # the most recently used last
         self.busy: set[Link] = set()
         self.dials: set[Exchange] = set()
@@ -464,13 +465,14 @@
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
         pool = self._pools.get(backend)
         if pool is None:
-            if entry.status != "removed":
+            if entry.state is not EndpointState.REMOVED:
                 self._pools[backend] = Pool(
                     entry, self._share, self._kept, self._room, self._keep, self._trace
                 )
             return
-        pool.ready, stale = entry.status == "up", False
-        if entry.status != "removed":  # a new start or address: what was connected leads to the one before
+        pool.ready, stale = entry.state is EndpointState.READY, False
+        if entry.state is not EndpointState.REMOVED:
+            # A new start or address: what was connected leads to the one before.
             stale = pool.address != entry.address or pool.started != entry.started_us
             pool.address, pool.started = entry.address, entry.started_us
         if stale or not pool.ready:
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -9,7 +9,9 @@
 
 from quota_ingress.net.clock import Clock
 from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint, decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
@@ -61,12 +63,14 @@
 
 
 def entry(name: str, port: int, status: str = "up", since_ms: int = 0) -> EndpointEntry:
-    return EndpointEntry({"name": name, "address": f"{HOST}:{port}", "status": status, "since_ms": since_ms})
+    return decode_endpoint(
+        {"name": name, "address": f"{HOST}:{port}", "status": status, "since_ms": since_ms}
+    )
 
 
 def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> EndpointList:
     entry = {"name": "s-1", "address": f"{HOST}:{port}", "status": status, "zone": "hall", "type": "big"}
-    return EndpointList({"index": index, "snapshot": whole, "endpoints": [entry]})
+    return decode_endpoint_list({"index": index, "snapshot": whole, "endpoints": [entry]})
 
 
 class Script:
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -9,6 +9,7 @@
 import pytest_asyncio
 
 from quota_ingress.net.admin import Admin
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream import listener as listener_module
@@ -125,11 +126,11 @@
 
     def list(self, *entries: dict[str, object], whole: bool = True) -> None:
         named = [{"address": f"{HOST}:1", "status": "up"} | e for e in entries]
-        self.maintenance.listed(EndpointList({"index": 4, "snapshot": whole, "endpoints": named}))
+        self.maintenance.listed(decode_endpoint_list({"index": 4, "snapshot": whole, "endpoints": named}))
 
     @property
     def last(self) -> dict[str, tuple[str, int]]:
-        return {e.name: (e.status, e.started_us) for e in self.heard[-1].entries}
+        return {e.name: (STATUS_BY_STATE[e.state], e.started_us) for e in self.heard[-1].entries}
 
 
 def test_a_backend_taken_out_is_told_as_draining_whatever_discovery_says() -> None:
@@ -178,7 +179,7 @@
     ingress = Ingress(Script(send_first))
     await ingress.start()
     box = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
-    ingress.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": [box]}))
+    ingress.engine.update_endpoints(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": [box]}))
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(up)
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
@@ -237,17 +238,13 @@
     boxes: dict[str, int] = {"a": 1, "b": 2}
 
     def tell(listing: EndpointList, kind: ListKind | None) -> None:
-        states = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
-        told = [
-            ListedEndpoint(boxes[e.name], states[e.status], 0, 0, 0, 1.0, e.started_us)
-            for e in listing.entries
-        ]
+        told = [ListedEndpoint(boxes[e.name], e.state, 0, 0, 0, 1.0, e.started_us) for e in listing.entries]
         way = ListKind.FULL if listing.is_snapshot else ListKind.DELTA
-        gateway.handle(time[0], EndpointsListed(way, listing.index, tuple(told)))
+        gateway.handle(time[0], EndpointsListed(way, listing.version, tuple(told)))
 
     maintenance = OperatorOverrides(lambda: time[0], tell)
     up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in boxes]
-    maintenance.listed(EndpointList({"index": 1, "snapshot": True, "endpoints": up}))
+    maintenance.listed(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": up}))
     number = 0
 
     def sends() -> set[int]:
--- a/tests/test_net_connect_timeout.py
+++ b/tests/test_net_connect_timeout.py
@@ -9,9 +9,11 @@
 import pytest
 
 from quota_ingress.net.counter import client as counter_module
-from quota_ingress.net.counter.client import Counter, CounterLine
+from quota_ingress.net.counter.client import CounterClient, CounterConnection
 from quota_ingress.net.discovery import watch as discovery_module
-from quota_ingress.net.discovery.watch import Discovery, Watch
+from quota_ingress.net.discovery import watch_connection
+from quota_ingress.net.discovery.watch import DiscoveryWatch
+from quota_ingress.net.discovery.watch_connection import WatchConnection
 from tests.net_helpers import HOST, PeerServer
 
 LIMIT = 0.05  # s for a connection to come up
@@ -46,9 +48,9 @@
     monkeypatch.setattr(counter_module, "CONNECT_TIMEOUT", LIMIT)
     monkeypatch.setattr(counter_module, "PING_EVERY", 0.1)
     monkeypatch.setattr(counter_module, "LINES", 1)
-    made, raised = late_once(monkeypatch, CounterLine), errors()
+    made, raised = late_once(monkeypatch, CounterConnection), errors()
     server = await PeerServer(lambda peer: peer.transport.write(b"pong\r\n")).start()
-    counter = Counter((HOST, server.port), 30_000, 24)
+    counter = CounterClient((HOST, server.port), 30_000, 24)
     counter.start()
     async with asyncio.timeout(5):
         while len(made) < 2:
@@ -64,14 +66,14 @@
 ) -> None:
     """It told later on that discovery was silent, while another watch was open."""
     monkeypatch.setattr(discovery_module, "CONNECT_TIMEOUT", LIMIT)
-    monkeypatch.setattr(discovery_module, "SILENT", 0.3)
-    made, raised = late_once(monkeypatch, Watch), errors()
+    monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT", 0.3)
+    made, raised = late_once(monkeypatch, WatchConnection), errors()
 
     def beat(peer: Any) -> None:
         peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 
     server = await PeerServer(beat).start()
-    discovery = Discovery((HOST, server.port), 4, lambda listing: None)
+    discovery = DiscoveryWatch((HOST, server.port), 4, lambda listing: None)
     discovery.start()
     async with asyncio.timeout(5):
         while len(made) < 2:
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -11,12 +11,13 @@
 
 from quota_ingress.net.backoff import Backoff
 from quota_ingress.net.counter import client as counter_module
-from quota_ingress.net.counter.client import Counter
+from quota_ingress.net.counter.client import CounterClient
 from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.discovery import retry
 from quota_ingress.net.discovery import watch as discovery_module
+from quota_ingress.net.discovery import watch_connection, watch_retry
 from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.watch import Discovery, Watch
+from quota_ingress.net.discovery.watch import DiscoveryWatch
+from quota_ingress.net.discovery.watch_connection import WatchConnection
 from quota_ingress.net.engine.attempts import AttemptResult
 from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.events import Outcome
@@ -27,7 +28,7 @@
 
 class Calls:
     def __init__(self, server: PeerServer, timeout_us: int) -> None:
-        self.counter, self.server = Counter((HOST, server.port), timeout_us), server
+        self.counter, self.server = CounterClient((HOST, server.port), timeout_us), server
         self.answers: list[tuple[str, Outcome, float]] = []
         self.changed = asyncio.Event()
 
@@ -203,7 +204,7 @@
     await calls.connect()
     calls.add("a")
     await lines(server, 1)
-    left = asyncio.create_task(calls.counter.retire())
+    left = asyncio.create_task(calls.counter.drain())
     await asyncio.sleep(0)
     assert not left.done()
     server.peers[0].transport.write(b"ok 2\r\n")
@@ -244,7 +245,7 @@
     def __init__(self, server: PeerServer) -> None:
         self.told: list[EndpointList] = []
         self.changed = asyncio.Event()
-        self.discovery = Discovery((HOST, server.port), 41, self._changed)
+        self.discovery = DiscoveryWatch((HOST, server.port), 41, self._changed)
         self.discovery.start()
 
     def _changed(self, listing: EndpointList) -> None:
@@ -266,7 +267,7 @@
     both = line(42, False, "a") + b"\n" + line(43, True, "a", "b")
     server.peers[0].transport.write(HEAD + chunk(both[:30]) + chunk(both[30:]))
     told = await watched.heard(2)
-    assert [(x.index, x.is_snapshot, [e.name for e in x.entries]) for x in told] == [
+    assert [(x.version, x.is_snapshot, [e.name for e in x.entries]) for x in told] == [
         (42, False, ["a"]),
         (43, True, ["a", "b"]),
     ]
@@ -277,7 +278,7 @@
 
 
 async def test_a_silent_watch_is_opened_anew(server: PeerServer, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "SILENT", 0.05)
+    monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT", 0.05)
     watched = Watched(server)
     await server.until(lambda: len(server.peers) == 2)
     watched.discovery.stop()
@@ -313,7 +314,7 @@
             aborted.append(time.now)
 
     aborted: list[float] = []
-    time, watch = Time(), Watch(Discovery((HOST, 1), 0, lambda listing: None), False)
+    time, watch = Time(), WatchConnection(DiscoveryWatch((HOST, 1), 0, lambda listing: None), False)
     watch._loop = time  # type: ignore[assignment]
     watch.connection_made(Wire())
     watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -322,7 +323,7 @@
         watch.data_received(chunk(b"\n"))
     while not aborted:
         time.now = time.at
-        watch._check()
+        watch._check_silence()
     assert 6 < aborted[0] <= 7.5  # after the beat due at 6 s, before a reload's 4 s are up
 
 
@@ -361,12 +362,12 @@
         await sleep(0)
 
     monkeypatch.setattr(discovery_module.asyncio, "sleep", slept)
-    watching = Discovery((HOST, agent.port), 4, lambda listing: None, size)
+    watching = DiscoveryWatch((HOST, agent.port), 4, lambda listing: None, size)
     watching.start()
     async with asyncio.timeout(10):
         await enough.wait()
     watching.stop()
-    first, longest = retry.NOT_TOLD
+    first, longest = watch_retry.FAILED_CALL_BACKOFF
     for tried, wait in enumerate(waits[:6]):
         usual = min(longest, first * 2**tried)
         assert 0.5 * usual <= wait <= 1.5 * usual
@@ -376,7 +377,7 @@
 
 async def test_a_large_fleet_holds_fewer_lines_to_the_counter_each(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter_module, "LINES", 3)
-    assert [Counter((HOST, 1), LONG, size)._count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
+    assert [CounterClient((HOST, 1), LONG, size)._count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
 
 
 @pytest.mark.parametrize(("size", "kept"), [(4, 3), (48, 1)])
--- a/tests/test_net_engine.py
+++ b/tests/test_net_engine.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
-from quota_ingress.net.discovery.start_times import reserve
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
+from quota_ingress.net.discovery.start_times import age_tolerance
 from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
 from quota_ingress.net.engine.engine import LAST_ATTEMPT, Engine
 from quota_ingress.net.engine.names import SettingsIndex
@@ -219,14 +220,16 @@
 def test_the_module_hears_the_list_before_the_attempts_that_it_withdraws() -> None:
     world = World(Script(sender()))
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up", "since_ms": 5} for n in "ab"]
-    world.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": names}))
+    world.engine.update_endpoints(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": names}))
     world.ask()
-    world.engine.update_endpoints(EndpointList({"index": 2, "snapshot": True, "endpoints": names[1:]}))
+    world.engine.update_endpoints(
+        decode_endpoint_list({"index": 2, "snapshot": True, "endpoints": names[1:]})
+    )
     assert [type(e) for e in world.script.events[-2:]] == [EndpointsListed, AttemptEnded]
     assert world.settled == [1]
     first, second = world.script.of(EndpointsListed)
     assert [b.id for b in first.endpoints] == [1, 2] and [b.id for b in second.endpoints] == [2]
-    just_now = START - reserve(SETTINGS.safety)
+    just_now = START - age_tolerance(SETTINGS.safety)
     assert first.endpoints[0].started_at == just_now and second.kind is ListKind.FULL
 
 
@@ -244,10 +247,14 @@
         names = [{"name": f"s-{index}", "address": "127.0.0.1:1", "status": "up"}]
         if index:
             names.append({"name": f"s-{index - 1}", "status": "removed"})
-        world.engine.update_endpoints(EndpointList({"index": index, "snapshot": False, "endpoints": names}))
+        world.engine.update_endpoints(
+            decode_endpoint_list({"index": index, "snapshot": False, "endpoints": names})
+        )
     assert len(world.engine._backends) == 1 and world.settled == list(range(1, 50))
     again = {"name": "s-3", "address": "127.0.0.1:1", "status": "up"}
-    world.engine.update_endpoints(EndpointList({"index": 60, "snapshot": False, "endpoints": [again]}))
+    world.engine.update_endpoints(
+        decode_endpoint_list({"index": 60, "snapshot": False, "endpoints": [again]})
+    )
     assert world.script.of(EndpointsListed)[-1].endpoints[0].id == 51
 
 
@@ -255,7 +262,9 @@
     def marks(names: list[str]) -> dict[str, int]:
         world = World(Script(sender()))
         entries = [{"name": name, "address": "127.0.0.1:1", "status": "up"} for name in names]
-        world.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": entries}))
+        world.engine.update_endpoints(
+            decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
+        )
         (event,) = world.script.of(EndpointsListed)
         return {name: b.hash_key for name, b in zip(names, event.endpoints, strict=True)}
 
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -20,8 +20,9 @@
 from ingress_testbed.soak.nodes import free_port
 from quota_ingress.__main__ import Ingress, read_config
 from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
+from quota_ingress.net.discovery.packed_entry import pack_entry
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
@@ -266,7 +267,7 @@
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while await reader.readline():
             await asyncio.sleep(slow)
-            lines = {"part": {"a": EndpointEntry(listed).packed()}}, {"answer": state}
+            lines = {"part": {"a": pack_entry(decode_endpoint(listed))}}, {"answer": state}
             writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
     server = await asyncio.start_unix_server(answer, tmp_path / NAME)
@@ -374,7 +375,9 @@
     listing = made.take_up(
         {"listing": {"index": 0, "snapshot": True, "endpoints": []}, "out": [], "back": {}, "gone": []}
     )
-    listing.packed = {e.name: e.packed() for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))}
+    listing.packed = {
+        e.name: pack_entry(e) for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))
+    }
     old.listed(listing)
     old.take_offline("a")
     old.take_offline("b")
@@ -382,11 +385,11 @@
     for part in old.parts():  # as it comes through the channel
         made.take_part(json.loads(json.dumps(part)))
     made.listed(made.take_up(json.loads(json.dumps(old.described()))))
-    told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
+    told = {e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
     made.noted("a", out=False)
-    assert heard[-1].entries[0].status == "up" and not made.out
+    assert heard[-1].entries[0].state is EndpointState.READY and not made.out
     with pytest.raises(ValueError):
         made.take_up(old.described())  # the list itself did not come
 
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -17,11 +17,15 @@
 from hypothesis import strategies as st
 
 from quota_ingress.__main__ import read_config
-from quota_ingress.net.discovery import endpoint_list as listing_module
+from quota_ingress.net.discovery import incremental_reader, list_parser
 from quota_ingress.net.discovery import operator_overrides as maintenance_module
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import Document, EndpointEntry, EndpointList, Line
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint, decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.list_parser import EndpointListParser, LineResult
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
+from quota_ingress.net.discovery.packed_entry import pack_entry, unpack_entry
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.policy import subsetting
@@ -38,7 +42,7 @@
 
 
 def told(*endpoints: dict[str, Any], index: int = 1, whole: bool = True) -> EndpointList:
-    return EndpointList({"index": index, "snapshot": whole, "endpoints": list(endpoints)})
+    return decode_endpoint_list({"index": index, "snapshot": whole, "endpoints": list(endpoints)})
 
 
 def box(number: int, status: str = "up", since_ms: int = 0) -> dict[str, Any]:
@@ -60,15 +64,15 @@
 
 def read(data: bytes, cut: int) -> EndpointList:
     """A list whose text comes in parts of `cut` bytes, and is long from its first byte on."""
-    document = Document()
+    document = EndpointListParser()
     *lines, rest = data.split(b"\n")
     for line in [*lines, rest]:
         parts = [line[at : at + cut] for at in range(0, len(line), cut)]
         for part in parts:
-            document.part(part)
-        if isinstance(found := document.end(b""), EndpointList):
+            document.feed(part)
+        if isinstance(found := document.end_line(b""), EndpointList):
             return found
-        assert found is Line.MORE
+        assert found is LineResult.INCOMPLETE
     raise AssertionError("no end")
 
 
@@ -96,9 +100,13 @@
     raw = {"endpoints": endpoints} | fields if first else fields | {"endpoints": endpoints}
     data = json.dumps(raw, indent=indent, ensure_ascii=ascii).encode()
     with pytest.MonkeyPatch.context() as always:
-        always.setattr(listing_module, "LONG", long)
+        always.setattr(list_parser, "INCREMENTAL_THRESHOLD_BYTES", long)
         found = read(data, cut)
-    assert (found.index, found.is_snapshot, found.packed) == (12, True, EndpointList(json.loads(data)).packed)
+    assert (found.version, found.is_snapshot, found.packed) == (
+        12,
+        True,
+        decode_endpoint_list(json.loads(data)).packed,
+    )
 
 
 @pytest.mark.parametrize(
@@ -113,19 +121,19 @@
 
 
 def test_of_a_long_list_little_is_held_unread(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listing_module, "MAX_LINE", 1_000_000)
-    document, index = Document(), 0
-    document.part(b'{"index":1,"snapshot":true,"endpoints":[')
+    monkeypatch.setattr(incremental_reader, "MAX_UNREAD_BYTES", 1_000_000)
+    document, index = EndpointListParser(), 0
+    document.feed(b'{"index":1,"snapshot":true,"endpoints":[')
     while index < 20_000:  # 3 MB in all
-        document.part(b",".join(json.dumps(box(n)).encode() for n in range(index, index + 100)) + b",")
+        document.feed(b",".join(json.dumps(box(n)).encode() for n in range(index, index + 100)) + b",")
         index += 100
-    document.part(json.dumps(box(index)).encode() + b"]")
-    found = document.end(b"}")
+    document.feed(json.dumps(box(index)).encode() + b"]")
+    found = document.end_line(b"}")
     assert isinstance(found, EndpointList) and len(found.packed) == 20_001
     with pytest.raises(ValueError):  # one value without end
-        document.part(b'{"index":"' + b"x" * 300_000)
+        document.feed(b'{"index":"' + b"x" * 300_000)
         for _ in range(20):
-            document.part(b"x" * 100_000)
+            document.feed(b"x" * 100_000)
 
 
 def test_a_name_told_twice_and_a_removal_of_what_never_was_are_logged_and_nothing_is_lost(
@@ -133,14 +141,14 @@
 ) -> None:
     directory = EndpointDirectory()
     with caplog.at_level(logging.INFO):
-        directory.take(told(box(1), box(2), box(1, "draining"), box(3, "removed")))
-        directory.take(told(box(9, "removed"), box(4), whole=False))
-    assert {n: e.status for n, e in directory.items()} == {
+        directory.apply(told(box(1), box(2), box(1, "draining"), box(3, "removed")))
+        directory.apply(told(box(9, "removed"), box(4), whole=False))
+    assert {n: STATUS_BY_STATE[e.state] for n, e in directory.items()} == {
         box(1)["name"]: "draining",
         box(2)["name"]: "up",
         box(4)["name"]: "up",
     }
-    assert directory.up == 2 and len(caplog.records) == 2
+    assert directory.ready_count == 2 and len(caplog.records) == 2
     assert "same name" in caplog.text and box(9)["name"] in caplog.text
 
 
@@ -167,9 +175,9 @@
     ),
 )
 def test_an_entry_is_packed_without_loss(raw: dict[str, Any]) -> None:
-    entry = EndpointEntry(raw)
-    again = EndpointEntry.unpacked(entry.name, entry.packed())
-    assert all(getattr(again, field) == getattr(entry, field) for field in EndpointEntry.__slots__)
+    entry = decode_endpoint(raw)
+    again = unpack_entry(entry.name, pack_entry(entry))
+    assert again == entry
 
 
 # What the engine tells of a long list.
@@ -264,8 +272,10 @@
             now = ({} if whole else now) | {e["name"]: e for e in entries}
             now = {n: e for n, e in now.items() if e["status"] != "removed"}
             directory, fleet = world.engine.directory, gateway.fleet
-            assert {n: e.status for n, e in directory.items()} == {n: e["status"] for n, e in now.items()}
-            assert fleet.total == directory.up == sum(e["status"] == "up" for e in now.values())
+            assert {n: STATUS_BY_STATE[e.state] for n, e in directory.items()} == {
+                n: e["status"] for n, e in now.items()
+            }
+            assert fleet.total == directory.ready_count == sum(e["status"] == "up" for e in now.values())
             assert fleet.subset == world.engine._subset
             assert fleet.backends.keys() == set(world.engine._backends.values())
             held = {world.known[n]: b.info.state is EndpointState.READY for n, b in fleet.backends.items()}
@@ -283,9 +293,9 @@
     held = next(int(name[2:], 16) for name in world.engine._backends)
     for n in range(40):
         raw = {"index": 2 + n, "snapshot": False, "endpoints": [box(held, since_ms=n)]}
-        document, line = Document(), json.dumps(raw).encode()
+        document, line = EndpointListParser(), json.dumps(raw).encode()
         begun = time.process_time()
-        found = document.end(line)
+        found = document.end_line(line)
         assert isinstance(found, EndpointList)
         maintenance.listed(found)
         costs.append(time.process_time() - begun)
@@ -306,11 +316,11 @@
     held = world.held()
     for name in (next(iter(held)), next(n for n in world.engine.directory if n not in held)):
         assert maintenance.take_offline(name)
-        assert world.engine.directory[name].status == "draining" and world.last.ready_total == 1999
+        assert world.engine.directory[name].state is EndpointState.DRAINING and world.last.ready_total == 1999
         assert [b.state for b in world.last.endpoints] == [EndpointState.DRAINING] * (name in held)
         parts = {n: packed for part in maintenance.parts() for n, packed in part.items()}
         assert (
-            len(parts) == 2000 and EndpointEntry.unpacked(name, parts[name]).status == "up"
+            len(parts) == 2000 and unpack_entry(name, parts[name]).state is EndpointState.READY
         )  # as discovery told it
         assert maintenance.put_online(name)
         assert world.engine.directory[name].started_us == 7_000_000 and world.last.ready_total == 2000
@@ -332,7 +342,7 @@
         False,
     ]
     maintenance.listed(told(box(0), whole=False))
-    assert maintenance.entries[box(0)["name"]].status == "up"
+    assert maintenance.entries[box(0)["name"]].state is EndpointState.READY
 
 
 # A whole process.
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -12,6 +12,7 @@
 import pytest_asyncio
 
 from quota_ingress import __main__ as main_module
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
@@ -178,7 +179,7 @@
         {"name": f"s-{n}", "address": f"{HOST}:{server.port}", "status": state, "zone": "hall", "type": "big"}
         for n, (server, state) in enumerate(zip(servers, status, strict=True))
     ]
-    return EndpointList({"index": 1, "snapshot": True, "endpoints": entries})
+    return decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
 
 
 @pytest.mark.parametrize("cls", ["read", "order"])
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -11,9 +11,9 @@
 import pytest
 
 from ingress_testbed.faults import Faults, build
-from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, reserve
+from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, age_tolerance
 from quota_ingress.net.engine.engine import Engine, _mark
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
@@ -28,7 +28,7 @@
 
 
 def age(starts: StartTimes, name: str, told: int, now: int) -> int:
-    return now - starts.local(name, told, now)
+    return now - starts.local_start(name, told, now)
 
 
 @pytest.mark.parametrize("off", OFF)
@@ -77,10 +77,10 @@
         named = [
             {"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in since.items()
         ]
-        engine.update_endpoints(EndpointList({"index": 1, "snapshot": whole, "endpoints": named}))
+        engine.update_endpoints(decode_endpoint_list({"index": 1, "snapshot": whole, "endpoints": named}))
         return {b.id: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
-    spare = reserve(SETTINGS.safety)
+    spare = age_tolerance(SETTINGS.safety)
     assert 0 < spare < SECOND
     assert told(True, a=NOW - 20 * SECOND, b=0) == {1: NOW - spare, 2: 0}
     assert told(False, c=NOW - SECOND) == {3: NOW - spare, 1: NOW - 19 * SECOND - spare}
@@ -90,7 +90,7 @@
 
 def test_the_reserve_is_what_the_unused_part_of_the_cold_budget_covers() -> None:
     safety = SETTINGS.safety
-    spare, ramp = reserve(safety), safety.warmup_time
+    spare, ramp = age_tolerance(safety), safety.warmup_time
     for age_us in range(0, ramp, ramp // 50):
         present = safety.initial_capacity_fraction + (1 - safety.initial_capacity_fraction) * age_us / ramp
         believed = (
@@ -98,7 +98,7 @@
             + (1 - safety.initial_capacity_fraction) * (age_us + spare) / ramp
         )
         assert COLD_PART * believed <= present * 1.0001
-    assert reserve(replace(safety, initial_capacity_fraction=1.0)) == 0
+    assert age_tolerance(replace(safety, initial_capacity_fraction=1.0)) == 0
 
 
 @pytest.mark.parametrize("off", OFF)
@@ -114,15 +114,15 @@
 
 def test_what_lies_further_back_than_a_step_explains_is_long_ago() -> None:
     starts = StartTimes()
-    assert starts.local("a", 0, NOW) == LONG_AGO
-    assert starts.local("a", NOW - GREATEST_STEP - 1, NOW) == LONG_AGO
-    assert starts.local("a", NOW - GREATEST_STEP + 1, NOW) != LONG_AGO
+    assert starts.local_start("a", 0, NOW) == LONG_AGO
+    assert starts.local_start("a", NOW - GREATEST_STEP - 1, NOW) == LONG_AGO
+    assert starts.local_start("a", NOW - GREATEST_STEP + 1, NOW) != LONG_AGO
 
 
 def test_a_start_told_as_earlier_than_the_one_before_happens_now() -> None:
     """The clock that it was read from has been stepped back."""
     starts = StartTimes()
-    starts.local("a", NOW, NOW)
+    starts.local_start("a", NOW, NOW)
     assert age(starts, "a", NOW - HOUR, NOW + 30 * SECOND) == 0
 
 
@@ -138,7 +138,7 @@
 
     def told(*entries: tuple[str, int], whole: bool) -> dict[str, int]:
         named = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in entries]
-        maintenance.listed(EndpointList({"index": 1, "snapshot": whole, "endpoints": named}))
+        maintenance.listed(decode_endpoint_list({"index": 1, "snapshot": whole, "endpoints": named}))
         return {b.hash_key: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
     told(("a", NOW - 30 * SECOND), ("b", NOW - 40 * SECOND), whole=True)
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -8,7 +8,7 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.engine.attempts import ParsedRequest
 from quota_ingress.net.http import BUFFERED, KEPT_WHOLE, Body, MemoryBudget
@@ -42,7 +42,9 @@
         await self.server.start()
         await self.ingress.start()
         box = {"name": "s-1", "address": f"{HOST}:{self.server.port}", "status": "up"}
-        self.ingress.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": [box]}))
+        self.ingress.engine.update_endpoints(
+            decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": [box]})
+        )
 
     async def connect(self, data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection(HOST, self.ingress.port)
--- a/tests/test_net_watch.py
+++ b/tests/test_net_watch.py
@@ -13,11 +13,14 @@
 import pytest_asyncio
 
 from quota_ingress import __main__ as main_module
-from quota_ingress.net.discovery import endpoint_list as listing_module
-from quota_ingress.net.discovery import retry
+from quota_ingress.net.discovery import list_parser, watch_connection, watch_retry
 from quota_ingress.net.discovery import watch as discovery_module
-from quota_ingress.net.discovery.endpoint_list import Document, EndpointList
-from quota_ingress.net.discovery.watch import Discovery, Watch
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.list_parser import EndpointListParser
+from quota_ingress.net.discovery.watch import DiscoveryWatch
+from quota_ingress.net.discovery.watch_connection import WatchConnection
+from quota_ingress.policy.endpoint_list import EndpointState
 from tests.net_helpers import HOST, Peer, PeerServer
 from tests.test_net_main import config
 
@@ -65,7 +68,7 @@
     def __init__(self, agent: Agent, index: int | None, size: int = LARGE) -> None:
         self.told: list[EndpointList] = []
         self.changed = asyncio.Event()
-        self.discovery = Discovery((HOST, agent.port), index, self._changed, size)
+        self.discovery = DiscoveryWatch((HOST, agent.port), index, self._changed, size)
         self.discovery.start()
 
     def _changed(self, listing: EndpointList) -> None:
@@ -77,7 +80,10 @@
             while len(self.told) < count:
                 self.changed.clear()
                 await self.changed.wait()
-        return [(x.index, x.is_snapshot, [e.name + "=" + e.status for e in x.entries]) for x in self.told]
+        return [
+            (x.version, x.is_snapshot, [e.name + "=" + STATUS_BY_STATE[e.state] for e in x.entries])
+            for x in self.told
+        ]
 
 
 @pytest_asyncio.fixture
@@ -103,7 +109,7 @@
     agent.peers[0].transport.abort()
     await agent.until(lambda: len(agent.asked) == 5)
     assert agent.asked[1:] == [b"GET /discovery/hosts?watch=1&from=42"] * 4
-    first, longest = retry.CUT
+    first, longest = watch_retry.RECONNECT_BACKOFF
     assert len(waits) == 4 and waits[0] <= 1.5 * first and max(waits) <= 1.5 * longest
     watched.discovery.stop()
     agent.stop()
@@ -113,8 +119,8 @@
     waits: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """However often: what the agent gets at discovery's return goes to the watch that is open then."""
-    for module in (discovery_module, retry):
-        monkeypatch.setattr(module, "SILENT", 0.05)
+    for module in (watch_connection, watch_retry):
+        monkeypatch.setattr(module, "HEARTBEAT_TIMEOUT", 0.05)
     agent = Agent(HEAD + chunk(text(told(42, False))))
     await agent.start()
     watched = Watched(agent, 41)
@@ -135,12 +141,16 @@
     await agent.start()
     watched = Watched(agent, 41)
     await watched.heard(1)
-    assert len(waits) == 2 and 0 < waits[0] < 1.5 * retry.NOT_TOLD[1] and waits[1] < 1.5 * retry.NOT_TOLD[1]
+    assert (
+        len(waits) == 2
+        and 0 < waits[0] < 1.5 * watch_retry.FAILED_CALL_BACKOFF[1]
+        and waits[1] < 1.5 * watch_retry.FAILED_CALL_BACKOFF[1]
+    )
     agent._server.close()
     agent.peers[2].transport.abort()
     while len(waits) < 6:
         await asyncio.sleep(0)
-    assert max(waits[2:6]) <= 1.5 * retry.CUT[1]
+    assert max(waits[2:6]) <= 1.5 * watch_retry.RECONNECT_BACKOFF[1]
     watched.discovery.stop()
     agent.stop()
 
@@ -154,7 +164,7 @@
     assert await watched.heard(2) == [(5, True, ["a=up"]), (6, False, ["a=draining"])]
     watch = b"GET /discovery/hosts?watch=1&from=5"
     assert agent.asked == [b"GET /discovery/hosts", watch, watch]
-    assert len(waits) == 1 and waits[0] <= 1.5 * retry.CUT[0]
+    assert len(waits) == 1 and waits[0] <= 1.5 * watch_retry.RECONNECT_BACKOFF[0]
     watched.discovery.stop()
     agent.stop()
 
@@ -240,24 +250,24 @@
     """After a silent watch, a second call may not take as long again: the change is late by then."""
     agent = Agent()
     await agent.start()
-    monkeypatch.setattr(retry, "LAST_TRIES", retry.IN_FORCE - 0.1)
-    monkeypatch.setattr(retry, "LEAST_SILENT", 0.05)
+    monkeypatch.setattr(watch_retry, "FINAL_CALLS_TIME", watch_retry.NOTIFICATION_DEADLINE - 0.1)
+    monkeypatch.setattr(watch_retry, "MIN_FIRST_BYTE_TIMEOUT", 0.05)
     began = asyncio.get_running_loop().time()
     watched = Watched(agent, 41)
     await agent.until(lambda: len(agent.asked) == 3)
-    assert asyncio.get_running_loop().time() - began < discovery_module.SILENT
+    assert asyncio.get_running_loop().time() - began < watch_connection.HEARTBEAT_TIMEOUT
     watched.discovery.stop()
     agent.stop()
 
 
 def test_a_document_that_ends_nowhere_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listing_module, "MAX_LINE", 1000)
-    document = Document()
-    assert document.add(b"[") is None
+    monkeypatch.setattr(list_parser, "MAX_UNREAD_BYTES", 1000)
+    document = EndpointListParser()
+    assert document.add_line(b"[") is None
     with pytest.raises(ValueError):
         for _ in range(1000):
-            document.add(b"1,")
-    assert not document.begun
+            document.add_line(b"1,")
+    assert not document.has_partial_list
 
 
 # The start.
@@ -281,7 +291,9 @@
     listen = ingress.listener.listen
 
     async def listened(host: str, port: int, inherited: int | None = None) -> int:
-        before.append({name: entry.status for name, entry in ingress.maintenance.entries.items()})
+        before.append(
+            {name: STATUS_BY_STATE[entry.state] for name, entry in ingress.maintenance.entries.items()}
+        )
         return await listen(host, port, inherited)
 
     monkeypatch.setattr(ingress.listener, "listen", listened)
@@ -297,7 +309,7 @@
     await agent.start()
     ingress = made_ingress(tmp_path, agent)
     await ingress.start()
-    assert ingress.ready() and ingress.maintenance.entries["leaving"].status == "up"
+    assert ingress.ready() and ingress.maintenance.entries["leaving"].state is EndpointState.READY
     await stopped(ingress)
     agent.stop()
 
@@ -306,14 +318,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After a reload, both can be read in one turn of the loop: the new list first, and then the old line."""
-    watches: list[Watch] = []
+    watches: list[WatchConnection] = []
 
-    class Kept(Watch):
-        def __init__(self, discovery: Discovery, whole: bool) -> None:
+    class Kept(WatchConnection):
+        def __init__(self, discovery: DiscoveryWatch, whole: bool) -> None:
             super().__init__(discovery, whole)
             watches.append(self)
 
-    monkeypatch.setattr(discovery_module, "Watch", Kept)
+    monkeypatch.setattr(discovery_module, "WatchConnection", Kept)
     old, new = Agent(HEAD + chunk(text(told(42, False)))), Agent(as_list(text(told(7, True, staying="up"))))
     await old.start()
     await new.start()
@@ -354,16 +366,16 @@
 async def test_a_change_from_the_other_process_counts_only_on_top_of_what_is_held() -> None:
     """One that skips versions would hide what lies between; one that the watch tells again is passed over."""
     heard: list[EndpointList] = []
-    made = Discovery((HOST, 1), 4, heard.append)
-    made.told_elsewhere(EndpointList(told(7, False, a="draining")), after=6)
-    made.told_elsewhere(EndpointList(told(4, False, a="draining")), after=3)
-    made.told_elsewhere(EndpointList(told(9, False, a="draining")), after=None)
-    assert not heard and made.index == 4
-    made.told_elsewhere(EndpointList(told(5, False, a="up")), after=4)
-    made.told_elsewhere(EndpointList(told(6, False, a="draining")), after=5)
-    made.told(EndpointList(told(5, False, a="up")))  # by the watch that was open all the time
-    made.told(EndpointList(told(6, False, a="draining")))
-    made.told(EndpointList(told(7, False, b="draining")))
-    assert [listing.index for listing in heard] == [5, 6, 7] and made.index == 7
-    made.told_elsewhere(EndpointList(told(12, True, a="up")), after=11)
-    assert heard[-1].index == 12 and heard[-1].is_snapshot
+    made = DiscoveryWatch((HOST, 1), 4, heard.append)
+    made.receive_from_peer(decode_endpoint_list(told(7, False, a="draining")), base_version=6)
+    made.receive_from_peer(decode_endpoint_list(told(4, False, a="draining")), base_version=3)
+    made.receive_from_peer(decode_endpoint_list(told(9, False, a="draining")), base_version=None)
+    assert not heard and made.version == 4
+    made.receive_from_peer(decode_endpoint_list(told(5, False, a="up")), base_version=4)
+    made.receive_from_peer(decode_endpoint_list(told(6, False, a="draining")), base_version=5)
+    made.receive(decode_endpoint_list(told(5, False, a="up")))  # by the watch that was open all the time
+    made.receive(decode_endpoint_list(told(6, False, a="draining")))
+    made.receive(decode_endpoint_list(told(7, False, b="draining")))
+    assert [listing.version for listing in heard] == [5, 6, 7] and made.version == 7
+    made.receive_from_peer(decode_endpoint_list(told(12, True, a="up")), base_version=11)
+    assert heard[-1].version == 12 and heard[-1].is_snapshot
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -9,19 +9,25 @@
 
 import pytest
 
-from quota_ingress.net.discovery.retry import CONNECT_TIMEOUT, IN_FORCE, SILENT, Ended, RetryPolicy
+from quota_ingress.net.discovery.watch_retry import (
+    CONNECT_TIMEOUT,
+    HEARTBEAT_TIMEOUT,
+    NOTIFICATION_DEADLINE,
+    CallEnd,
+    WatchRetryPolicy,
+)
 
 WORK = 0.4  # s left for the call that tells: an ingress may have a twentieth of a core
 FAULTS = ("hangs", "silent", "untold", "unreadable", "turned away")
 TAKES = {"hangs": CONNECT_TIMEOUT, "held": 2.0, "refused": 0.0}  # s until the ingress knows
 ENDS = {
-    "hangs": Ended.CUT,
-    "refused": Ended.CUT,
-    "silent": Ended.SILENT,
-    "untold": Ended.UNTOLD,
-    "unreadable": Ended.UNREADABLE,
-    "turned away": Ended.TURNED_AWAY,
-    "held": Ended.TURNED_AWAY,
+    "hangs": CallEnd.DISCONNECTED,
+    "refused": CallEnd.DISCONNECTED,
+    "silent": CallEnd.SILENT,
+    "untold": CallEnd.EMPTY,
+    "unreadable": CallEnd.MALFORMED,
+    "turned away": CallEnd.REJECTED,
+    "held": CallEnd.REJECTED,
 }
 
 
@@ -29,28 +35,28 @@
     return 1.0
 
 
-def told_after(retry: RetryPolicy, had: float, before: Sequence[str], after: Sequence[str]) -> float:
+def told_after(retry: WatchRetryPolicy, had: float, before: Sequence[str], after: Sequence[str]) -> float:
     """Seconds from `had`, when discovery has a change and can be reached, to the call that is answered. A
     watch falls silent at 0; calls begun before `had` end by `before`, in turn, the next ones by `after`, once
     each."""
     now, turn, rest = 0.0, itertools.cycle(before), list(after)
-    retry.calls(now)
-    retry.heard(now)
-    now += SILENT
+    retry.on_call(now)
+    retry.on_message(now)
+    now += HEARTBEAT_TIMEOUT
     how = "silent"
     while True:
-        now += retry.wait(ENDS[how], now)
-        retry.calls(now)
+        now += retry.next_wait(ENDS[how], now)
+        retry.on_call(now)
         if now >= had and not rest:
             return now - had
         how = rest.pop(0) if now >= had else next(turn)
-        now += retry.silence(now) if how == "silent" else TAKES.get(how, 0.0)
+        now += retry.first_byte_timeout(now) if how == "silent" else TAKES.get(how, 0.0)
 
 
 def longest_of_all(fleet_size: int, faults: Sequence[str], before: Sequence[str], most: int) -> float:
     """Over all paths: three calls by turns before, up to `most` different faults after, and any moment."""
     return max(
-        told_after(RetryPolicy(fleet_size, chance=longest), moment / 10 + 1e-6, turns, after)
+        told_after(WatchRetryPolicy(fleet_size, random_fraction=longest), moment / 10 + 1e-6, turns, after)
         for turns in itertools.chain(*(itertools.product(before, repeat=n) for n in (1, 2, 3)))
         for after in itertools.chain(*(itertools.permutations(faults, n) for n in range(most + 1)))
         for moment in range(0, 100, 3)
@@ -60,23 +66,26 @@
 @pytest.mark.parametrize("fleet_size", [3, 7000])
 def test_a_change_is_in_force_in_time_over_every_path_with_two_faults_after_it(fleet_size: int) -> None:
     """Counted from the silence of the watch, too. With separate waits it was up to 59 s in a fleet of 200."""
-    assert longest_of_all(fleet_size, FAULTS, FAULTS, 2) <= IN_FORCE - WORK
+    assert longest_of_all(fleet_size, FAULTS, FAULTS, 2) <= NOTIFICATION_DEADLINE - WORK
 
 
 @pytest.mark.parametrize("fleet_size", [3, 7000])
 def test_a_change_is_in_force_in_time_once_calls_are_no_longer_held_and_turned_away(fleet_size: int) -> None:
     """Then a dial may hang besides."""
-    assert longest_of_all(fleet_size, ["hangs"], ["held", "hangs", "turned away"], 1) <= IN_FORCE - WORK
+    assert (
+        longest_of_all(fleet_size, ["hangs"], ["held", "hangs", "turned away"], 1)
+        <= NOTIFICATION_DEADLINE - WORK
+    )
 
 
 def test_the_first_list_after_a_reload_is_asked_for_in_time() -> None:
     """What the new discovery has counts as told 4 s after the signal; later lists after 6 s."""
     for first, second in itertools.permutations(["hangs", "silent", "turned away", "unreadable"], 2):
-        retry, now = RetryPolicy(200, 4.0, longest), 0.0
+        retry, now = WatchRetryPolicy(200, 4.0, longest), 0.0
         for how in (first, second):
-            retry.calls(now)
-            now += retry.silence(now) if how == "silent" else TAKES.get(how, 0.0)
-            now += retry.wait(ENDS[how], now)
+            retry.on_call(now)
+            now += retry.first_byte_timeout(now) if how == "silent" else TAKES.get(how, 0.0)
+            now += retry.next_wait(ENDS[how], now)
         assert now <= 4.0 - WORK
 
 
@@ -87,21 +96,21 @@
     """All watches end at 0: when each ingress is told, and calls made in 40 s. A call that would wait in line
     for over 2 s is turned away: `at once`, or after these 2 s, or `wasted`, at its turn, which it uses up."""
     chance = random.Random(seed)
-    ingresses = [RetryPolicy(fleet_size, chance=chance.random) for _ in range(fleet_size)]
+    ingresses = [WatchRetryPolicy(fleet_size, random_fraction=chance.random) for _ in range(fleet_size)]
     calls = [(0.1 * chance.random(), n) for n in range(fleet_size)]
     heapq.heapify(calls)
     told: list[float] = []
     free, made = 0.0, 0
     while calls and calls[0][0] <= 40:
         now, n = heapq.heappop(calls)
-        ingresses[n].calls(now)
+        ingresses[n].on_call(now)
         turn, made = max(now, free), made + 1
         late = turn - now > 2.0
         if not late or line == "wasted":
             free = turn + 1 / capacity
         if late:
             end = {"at once": now, "held": now + 2.0, "wasted": turn + 1 / capacity}[line]
-            heapq.heappush(calls, (end + ingresses[n].wait(Ended.TURNED_AWAY, end), n))
+            heapq.heappush(calls, (end + ingresses[n].next_wait(CallEnd.REJECTED, end), n))
         else:
             told.append(free)
     return sorted(told), made
