--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -18,9 +18,10 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.watch import Discovery
-from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.ports import AttemptResult
+from quota_ingress.net.engine.requests import ParsedRequest
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.policy.events import Outcome
 from quota_ingress.policy.gateway import Gateway
@@ -99,8 +100,8 @@
         self.seen: dict[int, float] = {}  # by version of the list, when it was in force (monotonic clock)
         self.client, self._rng = Client(), random.Random(settings.gateway_index)
         gateway = Gateway(settings, settings.gateway_index + 1)
-        self.engine = Engine(gateway, settings, SettingsIndex(settings, raw), loop, clock.now)
-        self.engine.upstream = HollowUpstream()
+        index = SettingsIndex(settings, raw)
+        self.engine = Engine(gateway, settings, index, HollowUpstream(), loop, clock.now)
         directory = self.engine.directory
         self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, directory=directory)
         self.counter = Counter(counter, settings.counter.timeout, settings.fleet_size)
--- a/ingress_testbed/soak/judge.py
+++ b/ingress_testbed/soak/judge.py
@@ -16,7 +16,7 @@
 DEADLINE_SLACK = 0.15
 GONE_AFTER = 0.1  # s after its client's close in which an attempt may still begin
 IN_FORCE = 6.0  # s after which a change counts as told
-HELD_UP = 0.15  # s for which a node may stand still
+WRITE_DELAY = 0.15  # s for which a node may stand still
 STOP_ACCEPTS = 0.4  # s after SIGTERM in which clients come
 END_AFTER = LONGEST + 0.7  # s after SIGTERM
 BAD_PEER_SLACK = 0.3
@@ -165,7 +165,7 @@
             told = [w.at for w in written[node] if w.version >= change.version and w.at >= life.started_at]
             due = _reached(run, max(change.at, life.started_at)) + IN_FORCE
             late = arrival.began_at - min([due, *told]) - GRACE
-            if late > slack + HELD_UP:
+            if late > slack + WRITE_DELAY:
                 yield f"{late:.3f} s past the grace, process of {life.started_at:.2f}: {change} {arrival}"
 
 
--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -27,7 +27,7 @@
 from quota_ingress.net.discovery.watch import Discovery
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MemoryBudget
 from quota_ingress.net.lifecycle.upgrade import Handover
@@ -168,7 +168,7 @@
             size,
             within,
             self._engine.directory,
-            self._engine.trace,
+            self._engine.event_log,
         )
         return made
 
@@ -192,7 +192,7 @@
         """`until`: the moment of the loop's clock up to which a file that cannot be read is tried again;
         None: this is the first try.
         """
-        trace, loop = self._engine.trace, asyncio.get_running_loop()
+        trace, loop = self._engine.event_log, asyncio.get_running_loop()
         until = until or loop.time() + REREAD_WITHIN
         if self._reread:
             self._reread.cancel()
@@ -295,13 +295,12 @@
         names, limits = SettingsIndex(config.settings, config.raw), config.settings.limits
         loop, gateway = asyncio.get_running_loop(), Gateway(config.settings, config.seed)
         self.trace = EventLog.from_environment()
-        self.engine = Engine(gateway, config.settings, names, loop, clock.now, self.trace)
         self.room = room = MemoryBudget(config.memory_mb)
         size, wait = config.settings.fleet_size, limits.connect_timeout
         self.backends = UpstreamClient(sockets.backends, config.conn_idle, wait, room, size, self.trace)
-        self.engine.upstream = self.backends
+        self.engine = Engine(gateway, config.settings, names, self.backends, loop, clock.now, self.trace)
         self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, self.engine.directory)
-        self.engine.restored_at = self.maintenance.put_back_at
+        self.engine.endpoints.restored_at = self.maintenance.put_back_at
         self.listener = Listener(self.engine, sockets, clock.now, room)
         self.sources: Sources | None = None
         self.admin = Admin(self, self._callers)
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -13,7 +13,8 @@
 
 from quota_ingress.net.descriptors import left, quiet_for, unread, unsent
 from quota_ingress.net.downstream.request_parser import BadRequest, head_of
-from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
+from quota_ingress.net.engine.ports import AttemptResult
+from quota_ingress.net.engine.requests import ParsedRequest
 from quota_ingress.net.http import (
     BUFFERED,
     KEPT_WHOLE,
@@ -107,7 +108,7 @@
         listener = self._listener
         by_client = "reset by client" if exc else "closed by client"
         reason = self._closed_by.value if self._closed_by else by_client
-        self._engine.trace.event("client connection closed", reason)
+        self._engine.event_log.event("client connection closed", reason)
         listener.connections.discard(self)
         listener.coming.discard(self)
         for held in (listener.new, listener.begun, listener.idle, listener.choked, listener.lingering):
@@ -281,7 +282,9 @@
         if self._closed_by is None and not self.transport.is_closing():
             self._closed_by = reason
             if reason not in LOSES_NOTHING and (lost := self._unanswered()):
-                self._engine.trace.violation("request closed unanswered", reason=reason.value, requests=lost)
+                self._engine.event_log.violation(
+                    "request closed unanswered", reason=reason.value, requests=lost
+                )
 
     def _unanswered(self) -> int:
         """Requests that came whole and have no answer."""
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -11,7 +11,7 @@
 from quota_ingress.net.downstream.connection import HALF_SENT, ClientConnection, CloseReason
 from quota_ingress.net.downstream.request_parser import RequestReader
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.send_rules import HELD_UP
+from quota_ingress.net.engine.send_rules import WRITE_DELAY
 from quota_ingress.net.http import MemoryBudget
 
 LINGERS = 1.0  # s that a client may go on sending after an early answer, so that it comes to read that
@@ -37,7 +37,7 @@
     ) -> None:
         self.room = room or MemoryBudget()
         self.engine, self.share, self.top, self.now = engine, sockets.clients, sockets.top, now
-        self.requests = RequestReader(engine.settings, engine.names)
+        self.requests = RequestReader(engine.settings, engine.index)
         self.stopping = False  # for good, at SIGTERM
         self.handed = False  # another process accepts
         self.draining = False  # for as long as operators want
@@ -186,9 +186,9 @@
         """Tells a process that was held up from one that was busy, by the processor time that it used."""
         used, before = time.process_time(), self._ticked
         self._ticked = (now, used)
-        if before and (late := now - before[0] - int(SWEEP * 1e6)) > HELD_UP:
+        if before and (late := now - before[0] - int(SWEEP * 1e6)) > WRITE_DELAY:
             cpu = int(1e6 * (used - before[1]))
-            self.engine.trace.event("process", "held up", late_us=late, cpu_us=cpu)
+            self.engine.event_log.event("process", "held up", late_us=late, cpu_us=cpu)
 
     def _evict(self) -> bool:
         """Those that have had their last answer go first, then those that say nothing, those that stopped in
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -4,8 +4,8 @@
 
 import re
 
-from quota_ingress.net.engine.attempts import ParsedRequest
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.requests import ParsedRequest
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.http import Message
 from quota_ingress.policy.settings import Idempotency, Settings
 
@@ -91,7 +91,7 @@
         except ValueError:
             raise BadRequest(400, "X-Quota is missing or invalid") from None
         size = self.settings.fleet_size
-        if not (0 < units <= self.names.units_top[plan] and 0 < spread <= size and first < size):
+        if not (0 < units <= self.names.max_units[plan] and 0 < spread <= size and first < size):
             raise BadRequest(400, "X-Quota is out of range")
         return units, spread, first
 
--- /dev/null
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -0,0 +1,157 @@
+"""The endpoints that the policy is told of: this gateway's part of the list, and their numbers."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+
+from quota_ingress.net.discovery.directory import EndpointDirectory
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.start_times import StartTimes, reserve
+from quota_ingress.net.engine.ports import Upstream
+from quota_ingress.net.engine.settings_index import SettingsIndex
+from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
+from quota_ingress.policy.settings import Settings
+from quota_ingress.policy.subsetting import deal
+
+STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
+
+
+@dataclass(slots=True)
+class _Change:
+    """What one update changes of the endpoints that are told."""
+
+    told: list[tuple[EndpointEntry, int]] = field(default_factory=list)  # entry and number
+    removed: list[int] = field(default_factory=list)
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointUpdate:
+    """The policy's event for an update, and the numbers of the endpoints that are gone."""
+
+    event: EndpointsListed
+    removed: list[int]
+
+
+class EndpointRegistry:
+    """Keeps the directory of all endpoints, and numbers those of this gateway's subset for the policy.
+
+    Attributes:
+        directory: All endpoints that are listed.
+        numbers: Number by name of those in the subset; a number is never used again.
+        subset: This gateway's part of the list.
+        restored_at: Returns the moment (us) at which operators put an endpoint back; 0: they have not.
+    """
+
+    def __init__(self, settings: Settings, index: SettingsIndex, upstream: Upstream) -> None:
+        """Starts empty; entries are registered with `upstream` before the policy hears of them."""
+        self.directory = EndpointDirectory()
+        self.numbers: dict[str, int] = {}
+        self.subset = deal(settings.gateway_index, settings.fleet_size, 0)
+        self.restored_at: Callable[[str], int] = lambda name: 0
+        self._settings = settings
+        self._index = index
+        self._upstream = upstream
+        self._start_times = StartTimes(reserve(settings.safety))
+        self._last_number = 0
+        self._ready: set[str] = set()
+
+    @property
+    def any_ready(self) -> bool:
+        """Whether some endpoint would take a request."""
+        return bool(self._ready)
+
+    def update(self, listing: EndpointList, kind: ListKind | None, now: int) -> EndpointUpdate:
+        """Takes in a list or a change of it at `now` (us); `kind` is by default what the list says."""
+        kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
+        self.directory.take(listing)
+        subset_before = self.subset
+        self.subset = deal(
+            self._settings.gateway_index, self._settings.fleet_size, self.directory.up, subset_before
+        )
+        change = _Change()
+        for name in self._changed(listing, self.subset != subset_before):
+            self._apply(name, change)
+        told = [*change.told, *self._older_than_told(change.told, now)]
+        listed = [self._listed_endpoint(entry, number, now) for entry, number in told]
+        if not listing.is_snapshot:
+            listed += [_removed_endpoint(number) for number in change.removed]
+        ready_total = self.directory.up if self.subset.held > 1 else 0
+        event = EndpointsListed(kind, listing.index, tuple(listed), ready_total)
+        return EndpointUpdate(event, change.removed)
+
+    def _changed(self, listing: EndpointList, subset_changed: bool) -> Iterable[str]:
+        """Yields the names to look at; with another subset, those that enter or leave it after the others."""
+        if listing.is_snapshot:
+            yield from self.directory
+            yield from [name for name in self.numbers if name not in self.directory]
+            return
+        yield from listing.packed
+        if subset_changed:
+            yield from [name for name in self.directory if self.in_subset(name) != (name in self.numbers)]
+
+    def in_subset(self, name: str) -> bool:
+        """Returns whether the policy is told of the endpoint.
+
+        One that is draining is not taken in for its place in the subset, but stays where it was.
+        """
+        if name not in self.directory or not self.subset.holds(hash_key(name)):
+            return False
+        return self.subset.held == 1 or name in self.numbers or self.directory.is_up(name)
+
+    def _apply(self, name: str, change: _Change) -> None:
+        if self.in_subset(name):
+            change.told.append(self._register(name))
+        elif number := self.numbers.pop(name, 0):
+            change.removed.append(number)
+            self._ready.discard(name)
+            self._start_times.forget(name)
+
+    def _register(self, name: str) -> tuple[EndpointEntry, int]:
+        if name not in self.numbers:
+            self._last_number += 1
+            self.numbers[name] = self._last_number
+        entry = self.directory[name]
+        number = self.numbers[name]
+        self._upstream.register_endpoint(entry, number)
+        if entry.status == "up":
+            self._ready.add(name)
+        else:
+            self._ready.discard(name)
+        return entry, number
+
+    def _older_than_told(
+        self, told: list[tuple[EndpointEntry, int]], now: int
+    ) -> list[tuple[EndpointEntry, int]]:
+        """Returns the endpoints not in `told` that a later start shows to be older than they counted for."""
+        older: set[str] = set()
+        for entry, _ in told:
+            if entry.started_us != self.restored_at(entry.name):
+                older.update(self._start_times.observe(entry.started_us, now))
+        older -= {entry.name for entry, _ in told}
+        return [(self.directory[name], self.numbers[name]) for name in older if name in self.numbers]
+
+    def _listed_endpoint(self, entry: EndpointEntry, number: int, now: int) -> ListedEndpoint:
+        started_at = entry.started_us  # of this process's clock already, where operators put it back
+        if started_at != self.restored_at(entry.name):
+            started_at = self._start_times.local(entry.name, entry.started_us, now)
+        return ListedEndpoint(
+            id=number,
+            state=STATES[entry.status],
+            zone=self._index.zones.get(entry.zone, 0),
+            cell=entry.group,
+            kind=self._index.kinds.get(entry.kind, 0),
+            weight=entry.weight,
+            started_at=started_at,
+            hash_key=hash_key(entry.name),
+        )
+
+
+def hash_key(name: str) -> int:
+    """Returns a number that is the same at every ingress, and not 0."""
+    return zlib.crc32(name.encode(errors="surrogatepass")) or 1
+
+
+def _removed_endpoint(number: int) -> ListedEndpoint:
+    return ListedEndpoint(number, EndpointState.REMOVED, zone=0, cell=0, kind=0, weight=1.0, started_at=0)
--- a/quota_ingress/net/engine/send_rules.py
+++ b/quota_ingress/net/engine/send_rules.py
@@ -1,7 +1,7 @@
 """The one place that decides whether an attempt may begin now.
 
-It is asked twice: when the module wants an attempt, and again in the moment in which its first byte would be
-written, as a connection may take a second to come up and the process may be held up in between. The module
+It is asked twice: when the policy wants an attempt, and again in the moment in which its first byte would be
+written, as a connection may take a second to come up and the process may be held up in between. The policy
 decides by the same rules on what it knows; a denial that it should have foreseen is counted as a violation.
 """
 
@@ -13,23 +13,23 @@
 
 from quota_ingress.policy.settings import Idempotency, Limits, RequestClass
 
-HELD_UP = 150_000  # us that may pass between a look at the clock and the write: the standing test's figure
+WRITE_DELAY = 150_000  # us that may pass between reading the clock and the write, as the platform allows
 
 
 class Denial(Enum):
     """Why an attempt may not begin."""
 
-    REQUEST_OVER = "request over"
-    CLIENT_GONE = "client gone"
+    REQUEST_ANSWERED = "request over"
+    CLIENT_DISCONNECTED = "client gone"
     OUT_OF_TIME = "out of time"
     TOO_MANY_ATTEMPTS = "too many attempts"
-    SECOND_COPY = "second copy"
-    BODY_PASSED_ON = "body passed on"
+    HEDGED = "second copy"
+    BODY_FORWARDED = "body passed on"
     MAY_HAVE_RUN = "may have run"
     WINDOW_OVER = "window over"
 
 
-# The module is told all that these depend on, so it has to foresee them.
+# The policy is told all that these depend on, so it has to foresee them.
 FORESEEABLE = frozenset({Denial.TOO_MANY_ATTEMPTS, Denial.MAY_HAVE_RUN})
 
 
@@ -51,7 +51,7 @@
 
     @property
     def body_forwarded(self) -> bool:
-        """Some of its body has gone to a backend and is not held any more."""
+        """Some of its body has gone to an endpoint and is not held any more."""
 
     @property
     def body_coming(self) -> bool:
@@ -63,32 +63,38 @@
 
 
 def denial(
-    request: RequestState, attempt: AttemptState, cls: RequestClass, limits: Limits, now: int, until: int
+    request: RequestState,
+    attempt: AttemptState,
+    request_class: RequestClass,
+    limits: Limits,
+    now: int,
+    useful_until: int,
 ) -> Denial | None:
-    """Why `attempt`, one of the request's own, may not begin at `now`; None if it may.
+    """Returns why `attempt`, one of the request's own, may not begin at `now` (us); None if it may.
 
-    `until`: the moment in us up to which an answer could still be of use.
+    `useful_until` is the moment (us) up to which a response could still be of use.
     """
-    others = [a for a in request.attempts if a is not attempt]
     if request.answered:
-        return Denial.REQUEST_OVER
+        return Denial.REQUEST_ANSWERED
     if len(request.attempts) > limits.max_attempts:
         return Denial.TOO_MANY_ATTEMPTS
-    out = any(not a.ended for a in others)
-    if out and (request.body_coming or not limits.may_hedge):
-        return Denial.SECOND_COPY
+    others = [other for other in request.attempts if other is not attempt]
+    in_flight = any(not other.ended for other in others)
+    if in_flight and (request.body_coming or not limits.may_hedge):
+        return Denial.HEDGED
     if request.body_forwarded:
-        return Denial.BODY_PASSED_ON
-    if repeat := _repeat_denial(others, cls, now):
-        return repeat
-    return Denial.OUT_OF_TIME if until <= now else None
+        return Denial.BODY_FORWARDED
+    if reason := _retry_denial(others, request_class, now):
+        return reason
+    return Denial.OUT_OF_TIME if useful_until <= now else None
 
 
-def _repeat_denial(others: Sequence[AttemptState], cls: RequestClass, now: int) -> Denial | None:
-    """Whether a further run could take effect again."""
-    ran = [a.sent_at for a in others if a.may_have_run]
-    if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
+def _retry_denial(others: Sequence[AttemptState], request_class: RequestClass, now: int) -> Denial | None:
+    """Returns why a further run could take effect again; None if it can't."""
+    may_have_run_since = [other.sent_at for other in others if other.may_have_run]
+    if not may_have_run_since or request_class.idempotency is Idempotency.IDEMPOTENT:
         return None
-    if cls.idempotency is Idempotency.NOT_IDEMPOTENT:
+    if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return Denial.MAY_HAVE_RUN
-    return Denial.WINDOW_OVER if now + HELD_UP >= min(ran) + cls.deduplication_window else None
+    window_end = min(may_have_run_since) + request_class.deduplication_window
+    return Denial.WINDOW_OVER if now + WRITE_DELAY >= window_end else None
--- /dev/null
+++ b/quota_ingress/net/engine/settings_index.py
@@ -0,0 +1,65 @@
+"""The settings' names, as they come on the sockets, for what the policy knows by number."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping, Sequence
+from typing import Any
+
+from quota_ingress.policy.settings import Plan, Settings
+
+MAX_LOAD_VALUE = 1e6  # a report of this much or more is not believed
+
+
+class SettingsIndex:
+    """Looks up request classes, plans, zones, kinds and load fields by name.
+
+    Attributes:
+        classes: Index into `Settings.classes` by name.
+        plans: Index into `Settings.plans` by name.
+        zones: Number of a zone by name.
+        kinds: Number of a kind of endpoint by name.
+        max_units: By plan, the most units that one request may ask for.
+    """
+
+    def __init__(self, settings: Settings, raw: Mapping[str, Any]) -> None:
+        """Indexes `settings`; `raw`, the platform's own object, names zones, kinds and load fields."""
+        self.classes = {c.name.encode(): number for number, c in enumerate(settings.classes)}
+        self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
+        self.zones = _numbered(raw.get("failure_domains", ()))
+        self.kinds = _numbered(raw.get("flavors", ()))
+        units_top = float(raw.get("domain", {}).get("units_top", 0)) or math.inf
+        self.max_units = tuple(_max_units(plan, units_top) for plan in settings.plans)
+        names_on_wire = raw.get("telemetry", {}).get("fields", ())
+        self._load_fields = {str(name).encode(): number for number, name in enumerate(names_on_wire)}
+        self._load_fields |= {name.encode(): number for number, name in enumerate(settings.load_fields)}
+        self._load_field_count = len(settings.load_fields)
+
+    def load(self, text: bytes) -> tuple[float, ...]:
+        """Returns the values of a load report such as `inflight=7,queue=2`, in the settings' order.
+
+        The result is empty if a field is missing or is no plausible number.
+        """
+        found: list[float | None] = [None] * self._load_field_count
+        for part in text.split(b","):
+            name, _, text_value = part.strip().partition(b"=")
+            position = self._load_fields.get(name)
+            if position is None:
+                continue
+            try:
+                value = float(text_value)
+            except ValueError:
+                return ()
+            if not 0 <= value < MAX_LOAD_VALUE:  # nor NaN
+                return ()
+            found[position] = value
+        values = [value for value in found if value is not None]
+        return tuple(values) if len(values) == self._load_field_count else ()
+
+
+def _max_units(plan: Plan, units_top: float) -> float:
+    return min(plan.burst, units_top) if plan.rate else units_top
+
+
+def _numbered(names: Sequence[Any]) -> dict[str, int]:
+    return {str(name): number for number, name in enumerate(names)}
--- a/quota_ingress/net/engine/snapshot_codec.py
+++ b/quota_ingress/net/engine/snapshot_codec.py
@@ -36,8 +36,9 @@
 
 
 def encode(snapshot: PolicySnapshot, endpoint_names: Mapping[int, str]) -> dict[str, Any]:
-    """Returns the message for `snapshot`. Each process numbers endpoints its own way, so they go by name; one
-    without a name is left out.
+    """Returns the message for `snapshot`.
+
+    Each process numbers endpoints its own way, so they go by name; one without a name is left out.
     """
     return {
         "usual": list(snapshot.baseline_latencies),
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -13,7 +13,7 @@
 
 from quota_ingress.net.descriptors import Share
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import BUFFERED, KERNEL_BUFFER, SLICE, Body, HttpConnection, MemoryBudget, Message
 from quota_ingress.policy.events import Outcome
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -12,7 +12,7 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Event, RequestArrived
@@ -171,12 +171,11 @@
     def __init__(self, script: Script, limit: int = 1024) -> None:
         clock, self.sockets, self.script = Clock(), DescriptorBudget(limit), script
         names, loop = SettingsIndex(SETTINGS, RAW), asyncio.get_running_loop()
-        self.engine = Engine(script, SETTINGS, names, loop, clock.now)
         limits = SETTINGS.limits
         self.backends = UpstreamClient(
             self.sockets.backends, RAW["ceilings"]["conn_idle"], limits.connect_timeout
         )
-        self.engine.upstream = self.backends
+        self.engine = Engine(script, SETTINGS, names, self.backends, loop, clock.now)
         self.listener = Listener(self.engine, self.sockets, clock.now)
 
     async def start(self) -> int:
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -10,7 +10,7 @@
 import pytest_asyncio
 
 from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.upstream.client import Pool, UpstreamClient
 from quota_ingress.policy.events import Outcome
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, entry
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -17,7 +17,7 @@
 from quota_ingress.net.discovery import watch as discovery_module
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.watch import Discovery, Watch
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.events import Outcome
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, entry
--- a/tests/test_net_engine.py
+++ b/tests/test_net_engine.py
@@ -9,9 +9,11 @@
 
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.discovery.start_times import reserve
-from quota_ingress.net.engine.attempts import AttemptResult, ParsedRequest
-from quota_ingress.net.engine.engine import LAST_ATTEMPT, Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.attempt_runner import RESPONSE_MARGIN
+from quota_ingress.net.engine.engine import Engine
+from quota_ingress.net.engine.ports import AttemptResult
+from quota_ingress.net.engine.requests import ParsedRequest
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.policy.actions import Action, AddToCounter, CancelAttempt, Fail, Reject, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
@@ -59,8 +61,8 @@
         self.settled: list[int] = []
         self.answers: list[Any] = []
         self.script = script
-        self.engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), self, lambda: self.time)
-        self.engine.upstream = self
+        index = SettingsIndex(SETTINGS, RAW)
+        self.engine = Engine(script, SETTINGS, index, self, self, lambda: self.time)
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
         self.timers.append(Timer(self.time + round(delay * 1e6), lambda: callback(*args)))
@@ -177,11 +179,11 @@
     world.ask(timeout=1_000_000, ago=200_000)
     assert world.script.of(RequestArrived)[0].time_left == 800_000
     assert b"Request-Timeout: 785m\r\n" in world.sent[0].data
-    world.pass_time(800_000 - LAST_ATTEMPT - 1)
+    world.pass_time(800_000 - RESPONSE_MARGIN - 1)
     assert not world.sent[0].aborted
     world.pass_time(1)
     assert world.sent[0].aborted and ends(world.script) == [(0, Outcome.TIMEOUT, False)]
-    world.pass_time(LAST_ATTEMPT)
+    world.pass_time(RESPONSE_MARGIN)
     assert world.answers == ["late"] and len(world.script.of(ClientDisconnected)) == 1
 
 
@@ -245,7 +247,7 @@
         if index:
             names.append({"name": f"s-{index - 1}", "status": "removed"})
         world.engine.update_endpoints(EndpointList({"index": index, "snapshot": False, "endpoints": names}))
-    assert len(world.engine._backends) == 1 and world.settled == list(range(1, 50))
+    assert len(world.engine.endpoints.numbers) == 1 and world.settled == list(range(1, 50))
     again = {"name": "s-3", "address": "127.0.0.1:1", "status": "up"}
     world.engine.update_endpoints(EndpointList({"index": 60, "snapshot": False, "endpoints": [again]}))
     assert world.script.of(EndpointsListed)[-1].endpoints[0].id == 51
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -11,7 +11,7 @@
 import pytest_asyncio
 
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.upstream.client import Exchange, LinkEnd, Pool, UpstreamClient
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
 from quota_ingress.policy.events import (
@@ -99,7 +99,7 @@
     if "counter" in begins:
         counter.answer(Outcome.OK, 1.0)
     elif "timer" in begins:
-        ingress.engine._fire(TOKEN)
+        ingress.engine.on_timer(TOKEN)
     else:
         next(iter(pool.busy)).give_up(LinkEnd.STUCK)
     assert not pool.dials and not pool.busy  # in the same turn of the loop
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -23,7 +23,7 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
 from quota_ingress.net.lifecycle.upgrade import NAME, Handover
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
@@ -430,13 +430,9 @@
         def call_later(self, *_: object) -> Any: ...
 
     def engine() -> Engine:
-        made = Engine(
-            Gateway(SETTINGS, 1), SETTINGS, SettingsIndex(SETTINGS, RAW), Loop(), lambda: 1_000_000_000
-        )
-        made.upstream = type(
-            "None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None}
-        )()
-        return made
+        upstream = type("None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None})()
+        index = SettingsIndex(SETTINGS, RAW)
+        return Engine(Gateway(SETTINGS, 1), SETTINGS, index, upstream, Loop(), lambda: 1_000_000_000)
 
     whole = json.loads(json.dumps(engine().hand_over()))
     engine().restore(whole)
@@ -450,7 +446,7 @@
     odd = [account | {"plan": 9}, account | {"spread": 0}, account | {"sums": [1.0]}, account]
     kept = engine()
     kept.restore(whole | {"accounts": odd})
-    assert len(kept._gateway.accounts) == 1  # type: ignore[attr-defined]
+    assert len(kept._policy.accounts) == 1  # type: ignore[attr-defined]
 
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
@@ -523,10 +519,10 @@
     old, new = Ingress(read_config(str(path), env)), Ingress(read_config(str(path), env))
     top = old.listener.top
     await old.start()
-    old.engine._post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
+    old.engine.post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
     assert old.listener.top < top and new.listener.top < top
-    assert 7 in new.engine._gateway.accounts  # type: ignore[attr-defined]
+    assert 7 in new.engine._policy.accounts  # type: ignore[attr-defined]
     assert not old.ready() and old.listener.handed and not new.listener.handed
     async with asyncio.timeout(10):
         await old.stopping.wait()  # it has nothing left
--- a/tests/test_net_last_answers.py
+++ b/tests/test_net_last_answers.py
@@ -33,7 +33,7 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1") + request("r2"))
     assert await statuses(reader, 3) == [b"503"] * 3
-    assert await reader.read() == b"" and ingress.engine.trace.violations == 0
+    assert await reader.read() == b"" and ingress.engine.event_log.violations == 0
     writer.close()
 
 
@@ -44,7 +44,7 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1"))
     assert await statuses(reader, 2) == [b"429"] * 2
-    assert await reader.read() == b"" and ingress.engine.trace.violations == 0
+    assert await reader.read() == b"" and ingress.engine.event_log.violations == 0
     writer.close()
 
 
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -23,7 +23,7 @@
 from quota_ingress.net.discovery.endpoint_list import Document, EndpointEntry, EndpointList, Line
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy import subsetting
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState
 from quota_ingress.policy.gateway import Gateway
@@ -180,8 +180,8 @@
 
     def __init__(self, script: Any = None) -> None:
         super().__init__(script or Script(sender()))
-        self.engine = Engine(self.script, LONG_FLEET, SettingsIndex(LONG_FLEET, RAW), self, lambda: self.time)
-        self.engine.upstream = self
+        index = SettingsIndex(LONG_FLEET, RAW)
+        self.engine = Engine(self.script, LONG_FLEET, index, self, self, lambda: self.time)
         self.known: dict[int, str] = {}
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
@@ -192,7 +192,7 @@
         return self.script.of(EndpointsListed)[-1]
 
     def held(self) -> set[str]:
-        return set(self.engine._backends)
+        return set(self.engine.endpoints.numbers)
 
 
 def test_the_module_is_told_of_the_part_held_and_how_many_are_ready_in_all() -> None:
@@ -230,7 +230,7 @@
     assert world.held() == {box(n)["name"] for n in range(300, 1050)}
     for event in world.script.of(EndpointsListed):
         gateway.handle(0, event)
-    assert gateway.fleet.backends.keys() == set(world.engine._backends.values())
+    assert gateway.fleet.backends.keys() == set(world.engine.endpoints.numbers.values())
     assert len(gateway.fleet.ready) == gateway.fleet.total == 749
 
 
@@ -266,12 +266,12 @@
             directory, fleet = world.engine.directory, gateway.fleet
             assert {n: e.status for n, e in directory.items()} == {n: e["status"] for n, e in now.items()}
             assert fleet.total == directory.up == sum(e["status"] == "up" for e in now.values())
-            assert fleet.subset == world.engine._subset
-            assert fleet.backends.keys() == set(world.engine._backends.values())
+            assert fleet.subset == world.engine.endpoints.subset
+            assert fleet.backends.keys() == set(world.engine.endpoints.numbers.values())
             held = {world.known[n]: b.info.state is EndpointState.READY for n, b in fleet.backends.items()}
             assert held == {n: now[n]["status"] == "up" for n in held}
             ready = {n for n, e in now.items() if e["status"] == "up"}
-            assert ready & held.keys() == {n for n in ready if world.engine._holds(n)}
+            assert ready & held.keys() == {n for n in ready if world.engine.endpoints.in_subset(n)}
             assert world.engine.can_send == any(held.values())
 
 
@@ -280,7 +280,7 @@
     world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
     maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
     maintenance.listed(told(*(box(n) for n in range(count))))
-    held = next(int(name[2:], 16) for name in world.engine._backends)
+    held = next(int(name[2:], 16) for name in world.engine.endpoints.numbers)
     for n in range(40):
         raw = {"index": 2 + n, "snapshot": False, "endpoints": [box(held, since_ms=n)]}
         document, line = Document(), json.dumps(raw).encode()
--- a/tests/test_net_send_rules.py
+++ b/tests/test_net_send_rules.py
@@ -9,8 +9,10 @@
 import pytest
 
 from quota_ingress.net.descriptors import Share
-from quota_ingress.net.engine.attempts import Attempt, AttemptResult, ParsedRequest, Request
-from quota_ingress.net.engine.send_rules import HELD_UP, Denial, denial
+from quota_ingress.net.engine.attempts import Attempt
+from quota_ingress.net.engine.ports import AttemptResult
+from quota_ingress.net.engine.requests import ParsedRequest, Request
+from quota_ingress.net.engine.send_rules import WRITE_DELAY, Denial, denial
 from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
@@ -71,7 +73,7 @@
     classes = tuple(
         replace(c, deduplication_window=window) if c.name == "save" else c for c in SETTINGS.classes
     )
-    ingress.engine.settings = replace(SETTINGS, classes=classes)
+    ingress.engine.attempts.settings = replace(SETTINGS, classes=classes)
 
     def repeats(event: Event) -> list[Action]:
         again = isinstance(event, AttemptEnded) and event.outcome is Outcome.RESET
@@ -152,7 +154,7 @@
 
 def test_the_window_of_a_keyed_repeat_ends_before_the_process_may_be_held_up_beyond_it() -> None:
     cls = replace(CLASS, idempotency=Idempotency.WITH_KEY, deduplication_window=1_000_000)
-    for ago, found in ((999_999 - HELD_UP, None), (1_000_000 - HELD_UP, Denial.WINDOW_OVER)):
+    for ago, found in ((999_999 - WRITE_DELAY, None), (1_000_000 - WRITE_DELAY, Denial.WINDOW_OVER)):
         asked = made(ended(Outcome.RESET, ago), ended(Outcome.REJECTED, 10))
         assert denial(*asked, cls, replace(SETTINGS.limits, max_attempts=3), NOW, UNTIL) is found
 
@@ -160,12 +162,12 @@
 def test_the_other_rules() -> None:
     limits = replace(SETTINGS.limits, max_attempts=2, may_hedge=False)
     out = Attempt(0, 1, NOW)
-    assert denial(*made(over=True), CLASS, limits, NOW, UNTIL) is Denial.REQUEST_OVER
+    assert denial(*made(over=True), CLASS, limits, NOW, UNTIL) is Denial.REQUEST_ANSWERED
     assert denial(*made(), CLASS, limits, UNTIL, UNTIL) is Denial.OUT_OF_TIME
-    assert denial(*made(out), CLASS, limits, NOW, UNTIL) is Denial.SECOND_COPY
+    assert denial(*made(out), CLASS, limits, NOW, UNTIL) is Denial.HEDGED
     assert denial(*made(out), CLASS, replace(limits, may_hedge=True), NOW, UNTIL) is None
     failed = ended(Outcome.REJECTED)
     assert denial(*made(failed, failed), CLASS, limits, NOW, UNTIL) is Denial.TOO_MANY_ATTEMPTS
     asked, attempt = made()
     asked.parsed.body.gone = 1
-    assert denial(asked, attempt, CLASS, limits, NOW, UNTIL) is Denial.BODY_PASSED_ON
+    assert denial(asked, attempt, CLASS, limits, NOW, UNTIL) is Denial.BODY_FORWARDED
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -14,8 +14,9 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, reserve
-from quota_ingress.net.engine.engine import Engine, _mark
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.endpoint_registry import hash_key
+from quota_ingress.net.engine.engine import Engine
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
 from quota_ingress.policy.endpoint_set import COLD_PART
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
@@ -70,8 +71,7 @@
 
 def test_the_module_hears_of_backends_that_are_older_than_they_counted_for() -> None:
     script, clock, loop = Script(), NOW, asyncio.new_event_loop()
-    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), loop, lambda: clock)
-    engine.upstream = Pretended()
+    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), Pretended(), loop, lambda: clock)
 
     def told(whole: bool, **since: int) -> dict[int, int]:
         named = [
@@ -131,10 +131,9 @@
     """That moment is of this machine's own clock, and makes no other backend older."""
     script, clock = Script(), NOW + off
     loop = asyncio.new_event_loop()
-    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), loop, lambda: clock)
-    engine.upstream = Pretended()
+    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), Pretended(), loop, lambda: clock)
     maintenance = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
-    engine.restored_at = maintenance.put_back_at
+    engine.endpoints.restored_at = maintenance.put_back_at
 
     def told(*entries: tuple[str, int], whole: bool) -> dict[str, int]:
         named = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in entries]
@@ -148,11 +147,13 @@
     assert [b.started_at for b in script.of(EndpointsListed)[-1].endpoints] == [clock]
     clock += SECOND
     started = told(("c", NOW + 20 * SECOND), whole=False)  # told a second after it started
-    assert clock - started[_mark("c")] <= SECOND
-    assert started.get(_mark("a"), clock - SECOND) == clock - SECOND  # put back a second ago, whatever else
+    assert clock - started[hash_key("c")] <= SECOND
+    assert (
+        started.get(hash_key("a"), clock - SECOND) == clock - SECOND
+    )  # put back a second ago, whatever else
     clock += 30 * SECOND
     started = told(("a", NOW + 50 * SECOND), whole=False)  # it has been restarted once more
-    assert clock - started[_mark("a")] <= SECOND
+    assert clock - started[hash_key("a")] <= SECOND
     loop.close()
 
 
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -10,7 +10,7 @@
 
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.engine.attempts import ParsedRequest
+from quota_ingress.net.engine.requests import ParsedRequest
 from quota_ingress.net.http import BUFFERED, KEPT_WHOLE, Body, MemoryBudget
 from quota_ingress.policy.actions import Action, Reject, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, RequestArrived, StreamStarted
