--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -13,7 +13,7 @@
 
 from quota_ingress.net.descriptors import Share
 from quota_ingress.net.discovery.endpoint import EndpointEntry
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import BUFFERED, KERNEL_BUFFER, SLICE, Body, HttpConnection, MemoryBudget, Message
 from quota_ingress.policy.endpoint_list import EndpointState
@@ -471,8 +471,9 @@
                 )
             return
         pool.ready, stale = entry.state is EndpointState.READY, False
-        if entry.state is not EndpointState.REMOVED:
-            # A new start or address: what was connected leads to the one before.
+        if (
+            entry.state is not EndpointState.REMOVED
+        ):  # a new start or address: what was connected leads to the one before
             stale = pool.address != entry.address or pool.started != entry.started_us
             pool.address, pool.started = entry.address, entry.started_us
         if stale or not pool.ready:
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -14,7 +14,7 @@
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream import listener as listener_module
 from quota_ingress.policy.actions import AddToCounter, SendAttempt
-from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
+from quota_ingress.policy.endpoint_list import EndpointsListed, ListedEndpoint, ListKind
 from quota_ingress.policy.events import AttemptEnded, CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
 from tests.net_helpers import (
