--- a/ingress_testbed/probe.py
+++ b/ingress_testbed/probe.py
@@ -100,7 +100,7 @@
         gateway.handle(0, listed(range(24), ListKind.FULL))
         before = resident()
         first = used(lambda: served(gateway, 2 * SECOND, range(size), spread)) / size
-        held = float(len(gateway.accounts))
+        held = float(len(gateway.admission.customers))
         grown = resident() - before
         again = used(lambda: served(gateway, 3 * SECOND, range(REQUESTS), spread)) / REQUESTS
         sweep = used(lambda: gateway.handle(5 * SECOND, TimerFired(-1)))
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -133,7 +133,7 @@
     for booked in (0.0, 2.0):
         g, counter = gateway(), Counter()
         settle(g, 0, arrival(1), counter)
-        account = g.accounts[7]
+        account = g.admission.customers[7]
         account.leased_units = account.remaining_upper_bound = 0.0
         account.refill_rate, account.demand_rate = 10.0, 0.0
         account.book(0, 1.0)
@@ -148,7 +148,7 @@
     for n in range(50):
         settle(g, 0, arrival(n, customer=n), counter)
     settle(g, 60 * SECOND, arrival(99, customer=99), counter)
-    assert list(g.accounts) == [99]
+    assert list(g.admission.customers) == [99]
 
 
 def test_beyond_quota_is_served_where_the_plan_pays_and_room_is_left() -> None:
@@ -209,13 +209,13 @@
         (add,) = of(actions, AddToCounter)  # it is still asked for every new customer
         actions = g.handle(n * SECOND, CounterAnswered(add.name, Outcome.RESET, 0.0, 100))
         sent += len(of(actions, SendAttempt))
-    assert g.pacing.congestion == 1 and sent == 20  # meanwhile, each by the customer's share
+    assert g.admission.call_pacing.congestion == 1 and sent == 20  # meanwhile, each by the customer's share
 
 
 def test_leases_and_a_full_store_are_one_burst() -> None:
     g, counter = gateway(), Counter()
     settle(g, 0, arrival(1), counter)
-    account = g.accounts[7]
+    account = g.admission.customers[7]
     assert account.leased_units > 0
     assert account.remaining(30 * SECOND) + account.leased_units == pytest.approx(PLANS[0].burst)
 
@@ -224,13 +224,13 @@
     g = gateway()
     (add,) = of(g.handle(0, arrival(1)), AddToCounter)
     g.handle(60_000, CounterAnswered(add.name, Outcome.OK, add.amount, 60_000))  # its time-out is 30 ms
-    assert g.pacing.congestion > 1
+    assert g.admission.call_pacing.congestion > 1
 
 
 def test_what_has_been_leased_is_not_spent_again_while_the_counter_is_silent() -> None:
     g, counter = gateway(), Counter()
     settle(g, 0, arrival(1, units=2.0), counter)  # its part of the burst of 4 over two gateways
-    g.accounts[7].leased_units = 0.0
+    g.admission.customers[7].leased_units = 0.0
     actions = g.handle(1, arrival(2))
     for add in of(actions, AddToCounter):
         actions += g.handle(1, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 90_000))
@@ -243,16 +243,16 @@
         (add,) = of(g.handle(second * SECOND, arrival(second)), AddToCounter)
         spent = g.handle(second * SECOND, CounterAnswered(add.name, outcome, 0.0, 90_000))
         assert of(spent, SendAttempt)
-    assert g.accounts[7].unreported_units == 2.0
+    assert g.admission.customers[7].unreported_units == 2.0
     (add,) = of(g.handle(3 * SECOND, arrival(9)), AddToCounter)
-    assert g.accounts[7].unreported_units == 0.0 and add.amount >= 3.0
+    assert g.admission.customers[7].unreported_units == 0.0 and add.amount >= 3.0
 
 
 @pytest.mark.parametrize(("took", "recovered"), [(3_000, True), (20_000, False)])
 def test_calls_come_back_soon_after_a_silence_if_answers_are_prompt(took: int, recovered: bool) -> None:
     """Forty gateways went on with one call a second each for half a minute, though answers took a few ms."""
     g = Gateway(settings(fleet_size=40), 1)
-    g.pacing.congestion = g.pacing.most
+    g.admission.call_pacing.congestion = g.admission.call_pacing.most
     calls = []
     for n in range(800):  # a hundred customers in a second
         now = SECOND + n * 10_000
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -181,4 +181,4 @@
     for n in range(40):  # a window is two seconds
         g.handle(n * SECOND, arrival(n, customer=n))
         g.handle(n * SECOND, ClientDisconnected(n))
-    assert len(g.accounts) <= 8
+    assert len(g.admission.customers) <= 8
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -411,14 +411,14 @@
     for gateway in (old, new):
         listed(gateway, now)
     number = 0
-    while not (left := old.accounts[7].leased_units if number else 0.0):
+    while not (left := old.admission.customers[7].leased_units if number else 0.0):
         number, now = number + 1, now + 100_000
         lease(old, now, number)
         assert number < 50
     old.fleet.backends[1].limit = 9.0
     carried = old.hand_over()
     new.restore(carried)
-    assert new.accounts[7].leased_units == left and old.accounts[7].leased_units == 0
+    assert new.admission.customers[7].leased_units == left and old.admission.customers[7].leased_units == 0
     assert new.fleet.backends[1].limit == 9.0
     actions, asked = lease(new, now, 1)
     assert asked == 0 and any(isinstance(a, SendAttempt) for a in actions)  # from the lease
@@ -450,7 +450,7 @@
     odd = [account | {"plan": 9}, account | {"spread": 0}, account | {"sums": [1.0]}, account]
     kept = engine()
     kept.restore(whole | {"accounts": odd})
-    assert len(kept._gateway.accounts) == 1  # type: ignore[attr-defined]
+    assert len(kept._gateway.admission.customers) == 1  # type: ignore[attr-defined]
 
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
@@ -526,7 +526,7 @@
     old.engine._post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
     assert old.listener.top < top and new.listener.top < top
-    assert 7 in new.engine._gateway.accounts  # type: ignore[attr-defined]
+    assert 7 in new.engine._gateway.admission.customers  # type: ignore[attr-defined]
     assert not old.ready() and old.listener.handed and not new.listener.handed
     async with asyncio.timeout(10):
         await old.stopping.wait()  # it has nothing left
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -151,9 +151,9 @@
         play.step()
     play.rest()
     gateway = play.gateway
-    assert not gateway.requests and not gateway.flying and not gateway.calls
+    assert not gateway.requests and not gateway.flying and not gateway.admission.pending_calls
     assert gateway.fleet.out == 0 and not any(b.out for b in gateway.fleet.backends.values())
-    for account in gateway.accounts.values():
+    for account in gateway.admission.customers.values():
         assert account.in_flight == 0 and not account.waiting and not account.lease_requested
         sums = (
             account.leased_units,
