--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -114,7 +114,7 @@
         self.counter.start()
 
     def _listed(self, listing: EndpointList) -> None:
-        self.maintenance.listed(listing)
+        self.maintenance.apply_list(listing)
         self.seen[listing.index] = time.monotonic()
 
     async def asks(self, rate: float, seconds: float, customers: int, spread: int) -> None:
--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -240,7 +240,7 @@
                         "packed": packed,
                     }
                 )
-            self._listings.listed(listing)
+            self._listings.apply_list(listing)
 
     def listed_elsewhere(self, change: dict[str, Any]) -> None:
         """What another process of this ingress passes on, if it was told by the same discovery."""
@@ -301,7 +301,7 @@
         self.backends = UpstreamClient(sockets.backends, config.conn_idle, wait, room, size, self.trace)
         self.engine.upstream = self.backends
         self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, self.engine.directory)
-        self.engine.restored_at = self.maintenance.put_back_at
+        self.engine.restored_at = self.maintenance.restarted_at
         self.listener = Listener(self.engine, sockets, clock.now, room)
         self.sources: Sources | None = None
         self.admin = Admin(self, self._callers)
@@ -323,7 +323,7 @@
         told = await self.handover.find(self._take_up) if self.handover else None
         known, self._told, self._known = self._told or self._known, None, None
         if known:
-            self.maintenance.listed(known, ListKind.CACHED)
+            self.maintenance.apply_list(known, ListKind.CACHED)
         pass_on = self.handover.pass_on if self.handover else None
         index = known.index if known else None
         self.sources = Sources(self.engine, self.maintenance, config, index, pass_on)
@@ -380,19 +380,19 @@
     def _take_up(self, told: dict[str, Any]) -> None:
         try:
             self.clock.adopt(int(told.get("clock", self.clock.base)))  # the version before tells none
-            self._told = self.maintenance.take_up(told)
+            self._told = self.maintenance.restore(told)
             self.listener.drain(bool(told["drained"]))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("handover: what the other process tells cannot be read: %r", error)
 
     def parts(self) -> Iterable[dict[str, Any]]:
-        return self.maintenance.parts()
+        return self.maintenance.entry_batches()
 
     def take_part(self, part: dict[str, Any]) -> None:
-        self.maintenance.take_part(part)
+        self.maintenance.restore_entries(part)
 
     def described(self) -> dict[str, Any]:
-        return self.maintenance.described() | {"drained": self.listener.draining, "clock": self.clock.base}
+        return self.maintenance.snapshot() | {"drained": self.listener.draining, "clock": self.clock.base}
 
     def hand_over(self) -> dict[str, Any]:
         log.info("handover: another process accepts from now on")
@@ -426,7 +426,7 @@
         if "drain" in note:
             self.listener.drain(bool(note["drain"]))
         else:
-            self.maintenance.noted(str(note["backend"]), bool(note["out"]))
+            self.maintenance.apply_operator_call(str(note["backend"]), bool(note["out"]))
 
     def listed_elsewhere(self, change: dict[str, Any]) -> None:
         if self.sources is None:
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -12,7 +12,9 @@
 from quota_ingress.policy.endpoint_list import ListKind
 
 Tell = Callable[[EndpointList, ListKind | None], None]
-GONE = 5000  # names removed last that operators may still call by: of the largest fleet those of six hours
+MAX_REMOVED_NAMES = (
+    5000  # names removed last that operators may still call by: of the largest fleet those of six hours
+)
 
 PART = 1000  # entries told to another process at a time
 
@@ -24,61 +26,74 @@
         self, now: Callable[[], int], tell: Tell, directory: EndpointDirectory | None = None
     ) -> None:
         """`directory`: the table into which `tell` takes what it is told; without one, it is kept here."""
-        self.out: set[str] = set()
-        self.back: dict[str, int] = {}  # when it was put back: it was restarted meanwhile, so it is cold
-        self._since: dict[str, int] = {}  # the start that discovery told of these then; a later one counts
+        self.offline: set[str] = set()
+        self._restart_moments: dict[
+            str, int
+        ] = {}  # when it was put back: it was restarted meanwhile, so it is cold
+        self._start_when_restored: dict[
+            str, int
+        ] = {}  # the start that discovery told of these then; a later one counts
         self.index = 0
-        self._now, self._tell, self._keeps = now, tell, directory is None
+        self._now, self._publish, self._keeps = now, tell, directory is None
         self._directory = EndpointDirectory() if directory is None else directory
-        self._named: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
-        self._gone: OrderedDict[str, None] = OrderedDict()
-        self._coming: dict[str, str] = {}  # packed: told by the process that this one takes over from
+        self._as_discovered: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
+        self._removed_names: OrderedDict[str, None] = OrderedDict()
+        self._incoming_entries: dict[
+            str, str
+        ] = {}  # packed: told by the process that this one takes over from
 
     @property
     def entries(self) -> Mapping[str, EndpointEntry]:
         """The list as it is told on."""
         return self._directory
 
-    def listed(self, listing: EndpointList, kind: ListKind | None = None) -> None:
+    def apply_list(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """A change costs as much as it changes."""
         packed, directory = listing.packed, self._directory
         left: Iterable[str] = (n for n in packed if packed[n][0] == REMOVED)
         if listing.is_snapshot:
-            self._named.clear()
+            self._as_discovered.clear()
             left = [*left, *(n for n in directory if n not in packed)]
         for name in left:
-            self._named.pop(name, None)
-            self._remember(name)
-        few = packed.keys() & (self.out | self.back.keys()) if listing.is_snapshot else packed.keys()
+            self._as_discovered.pop(name, None)
+            self._remember_name(name)
+        few = (
+            packed.keys() & (self.offline | self._restart_moments.keys())
+            if listing.is_snapshot
+            else packed.keys()
+        )
         for name in few:
-            if packed[name][0] != REMOVED and (name in self.out or name in self.back):
-                self._named[name] = EndpointEntry.unpacked(name, packed[name])
-                packed[name] = self._laid_over(self._named[name]).packed()
+            if packed[name][0] != REMOVED and (name in self.offline or name in self._restart_moments):
+                self._as_discovered[name] = EndpointEntry.unpacked(name, packed[name])
+                packed[name] = self._with_override(self._as_discovered[name]).packed()
         self.index = listing.index
         self._pass_on(listing, kind)
 
-    def described(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """For another process: what discovery told last, and what operators asked for."""
-        gone = sorted((self._gone.keys() | self.out) - self._directory.keys())
+        gone = sorted((self._removed_names.keys() | self.offline) - self._directory.keys())
         counted = {"index": self.index, "count": len(self._directory)}
-        return {"listed": counted, "out": sorted(self.out), "back": self.back, "gone": gone}
+        return {"listed": counted, "out": sorted(self.offline), "back": self._restart_moments, "gone": gone}
 
-    def parts(self) -> Iterator[dict[str, str]]:
+    def entry_batches(self) -> Iterator[dict[str, str]]:
         """The list that `described` counts, some entries at a time, packed: all at once take much memory."""
         names = iter(self._directory)
         while some := list(islice(names, PART)):
-            yield {n: self._named[n].packed() if n in self._named else self._directory.text(n) for n in some}
+            yield {
+                n: self._as_discovered[n].packed() if n in self._as_discovered else self._directory.text(n)
+                for n in some
+            }
 
-    def take_part(self, part: dict[str, str]) -> None:
+    def restore_entries(self, part: dict[str, str]) -> None:
         """Some of the other process's list, before it is taken up."""
         for name, packed in part.items():
-            self._coming[name] = EndpointEntry.unpacked(name, packed).packed()
+            self._incoming_entries[name] = EndpointEntry.unpacked(name, packed).packed()
 
-    def take_up(self, told: dict[str, Any]) -> EndpointList:
+    def restore(self, told: dict[str, Any]) -> EndpointList:
         """The other process's list, once what operators asked of it holds here, too. ValueError if some of
         the list is missing.
         """
-        coming, self._coming = self._coming, {}
+        coming, self._incoming_entries = self._incoming_entries, {}
         if "listing" in told:  # by a process of an earlier version
             listing = EndpointList(told["listing"])
         elif len(coming) == told["listed"]["count"]:
@@ -88,68 +103,68 @@
             raise ValueError(f"{len(coming)} backends of {told['listed']['count']}")
         out, back = {str(n) for n in told["out"]}, {str(n): int(at) for n, at in told["back"].items()}
         for name in told["gone"]:
-            self._remember(str(name))
-        self.out, self.back = out, back
+            self._remember_name(str(name))
+        self.offline, self._restart_moments = out, back
         return listing
 
-    def put_back_at(self, name: str) -> int:
+    def restarted_at(self, name: str) -> int:
         """The moment in us of this process's clock, if that is what counts as its start; else 0."""
-        return self.back.get(name, 0)
+        return self._restart_moments.get(name, 0)
 
-    def noted(self, name: str, out: bool) -> None:
+    def apply_operator_call(self, name: str, out: bool) -> None:
         """A call at another process of the same ingress: it has answered it, and both follow it."""
-        self._remember(name)
+        self._remember_name(name)
         if out:
             self.take_offline(name)
         else:
             self.put_online(name)
 
     def take_offline(self, name: str) -> bool:
-        if not self._knows(name):
+        if not self._is_known(name):
             return False
-        if name not in self.out:
-            self.out.add(name)
-            self._changed(name)
+        if name not in self.offline:
+            self.offline.add(name)
+            self._publish_entry(name)
         return True
 
     def put_online(self, name: str) -> bool:
         """One call back ends the ban, however often the backend was taken out."""
-        if not self._knows(name):
+        if not self._is_known(name):
             return False
-        if name in self.out:
-            self.out.discard(name)
-            self.back[name] = self._now()
-            self._since.pop(name, None)
-            self._changed(name)
-            self._remember(name)
+        if name in self.offline:
+            self.offline.discard(name)
+            self._restart_moments[name] = self._now()
+            self._start_when_restored.pop(name, None)
+            self._publish_entry(name)
+            self._remember_name(name)
         return True
 
-    def _knows(self, name: str) -> bool:
-        return name in self._directory or name in self.out or name in self._gone
+    def _is_known(self, name: str) -> bool:
+        return name in self._directory or name in self.offline or name in self._removed_names
 
-    def _remember(self, name: str) -> None:
-        self._gone[name] = None
-        self._gone.move_to_end(name)
-        if len(self._gone) > GONE:
-            self._gone.popitem(last=False)
+    def _remember_name(self, name: str) -> None:
+        self._removed_names[name] = None
+        self._removed_names.move_to_end(name)
+        if len(self._removed_names) > MAX_REMOVED_NAMES:
+            self._removed_names.popitem(last=False)
 
-    def _changed(self, name: str) -> None:
+    def _publish_entry(self, name: str) -> None:
         if name in self._directory:
-            entry = self._named.setdefault(name, self._directory[name])
-            self._pass_on(EndpointList.of(self.index, False, [self._laid_over(entry)]), None)
+            entry = self._as_discovered.setdefault(name, self._directory[name])
+            self._pass_on(EndpointList.of(self.index, False, [self._with_override(entry)]), None)
 
     def _pass_on(self, listing: EndpointList, kind: ListKind | None) -> None:
         if self._keeps:
             self._directory.take(listing)
-        self._tell(listing, kind)
+        self._publish(listing, kind)
 
-    def _laid_over(self, entry: EndpointEntry) -> EndpointEntry:
+    def _with_override(self, entry: EndpointEntry) -> EndpointEntry:
         """Moments of two clocks are never compared: what operators did counts until another start is told."""
-        if entry.status == "up" and entry.name in self.out:
+        if entry.status == "up" and entry.name in self.offline:
             return entry.replaced(status="draining")
-        if entry.name not in self.back:
+        if entry.name not in self._restart_moments:
             return entry
-        if self._since.setdefault(entry.name, entry.started_us) != entry.started_us:
-            del self.back[entry.name], self._since[entry.name]
+        if self._start_when_restored.setdefault(entry.name, entry.started_us) != entry.started_us:
+            del self._restart_moments[entry.name], self._start_when_restored[entry.name]
             return entry
-        return entry.replaced(since_us=self.back[entry.name])
+        return entry.replaced(since_us=self._restart_moments[entry.name])
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -125,7 +125,7 @@
 
     def list(self, *entries: dict[str, object], whole: bool = True) -> None:
         named = [{"address": f"{HOST}:1", "status": "up"} | e for e in entries]
-        self.maintenance.listed(EndpointList({"index": 4, "snapshot": whole, "endpoints": named}))
+        self.maintenance.apply_list(EndpointList({"index": 4, "snapshot": whole, "endpoints": named}))
 
     @property
     def last(self) -> dict[str, tuple[str, int]]:
@@ -247,7 +247,7 @@
 
     maintenance = OperatorOverrides(lambda: time[0], tell)
     up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in boxes]
-    maintenance.listed(EndpointList({"index": 1, "snapshot": True, "endpoints": up}))
+    maintenance.apply_list(EndpointList({"index": 1, "snapshot": True, "endpoints": up}))
     number = 0
 
     def sends() -> set[int]:
--- a/tests/test_net_crowd.py
+++ b/tests/test_net_crowd.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, request
-from tests.test_net_main import ROOT, as_counter, ask, config, listens
+from tests.process_helpers import ROOT, as_counter, ask, config, listens
 
 LIMIT = 256  # descriptors, the least that the terms allow
 CROWD = 2 * LIMIT
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -32,7 +32,7 @@
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, answers, entry, read_answer, request
-from tests.test_net_main import ask, config, listens, start
+from tests.process_helpers import ask, config, listens, start
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -326,7 +326,7 @@
     lines = {"answer": state}, {"note": {"backend": "a", "out": True}}, {"note": {"drain": True}}
     new = Process()
     made = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: None)
-    new.noted = lambda note: made.noted("a", True) if "backend" in note else None  # type: ignore[method-assign]
+    new.noted = lambda note: made.apply_operator_call("a", True) if "backend" in note else None  # type: ignore[method-assign]
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
@@ -334,8 +334,8 @@
 
     server = await asyncio.start_unix_server(answer, tmp_path / NAME)
     coming = Handover(new, str(tmp_path))
-    assert await coming.find(made.take_up) == state
-    assert made.out == {"a"}
+    assert await coming.find(made.restore) == state
+    assert made.offline == {"a"}
     coming.stop()
     server.close()
 
@@ -371,24 +371,24 @@
     heard: list[Any] = []
     old = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: heard.append(listing))
     made = OperatorOverrides(lambda: 9_000_000, lambda listing, kind: heard.append(listing))
-    listing = made.take_up(
+    listing = made.restore(
         {"listing": {"index": 0, "snapshot": True, "endpoints": []}, "out": [], "back": {}, "gone": []}
     )
     listing.packed = {e.name: e.packed() for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))}
-    old.listed(listing)
+    old.apply_list(listing)
     old.take_offline("a")
     old.take_offline("b")
     old.put_online("b")
-    for part in old.parts():  # as it comes through the channel
-        made.take_part(json.loads(json.dumps(part)))
-    made.listed(made.take_up(json.loads(json.dumps(old.described()))))
+    for part in old.entry_batches():  # as it comes through the channel
+        made.restore_entries(json.loads(json.dumps(part)))
+    made.apply_list(made.restore(json.loads(json.dumps(old.snapshot()))))
     told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
-    made.noted("a", out=False)
-    assert heard[-1].entries[0].status == "up" and not made.out
+    made.apply_operator_call("a", out=False)
+    assert heard[-1].entries[0].status == "up" and not made.offline
     with pytest.raises(ValueError):
-        made.take_up(old.described())  # the list itself did not come
+        made.restore(old.snapshot())  # the list itself did not come
 
 
 def lease(gateway: Gateway, now: int, number: int) -> tuple[list[Action], float]:
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -29,8 +29,8 @@
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.settings_codec import settings_from_json
 from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script
+from tests.process_helpers import ask, config, listens, start
 from tests.test_net_engine import World, sender
-from tests.test_net_main import ask, config, listens, start
 
 FLEET, MANY = 7100, 90_000
 LONG_FLEET = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
@@ -279,7 +279,7 @@
     """s of CPU for one change, from the line to the module, the least of some."""
     world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
     maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
-    maintenance.listed(told(*(box(n) for n in range(count))))
+    maintenance.apply_list(told(*(box(n) for n in range(count))))
     held = next(int(name[2:], 16) for name in world.engine._backends)
     for n in range(40):
         raw = {"index": 2 + n, "snapshot": False, "endpoints": [box(held, since_ms=n)]}
@@ -287,7 +287,7 @@
         begun = time.process_time()
         found = document.end(line)
         assert isinstance(found, EndpointList)
-        maintenance.listed(found)
+        maintenance.apply_list(found)
         costs.append(time.process_time() - begun)
     return min(costs)
 
@@ -302,13 +302,13 @@
 def test_operators_take_out_any_backend_that_is_listed_held_or_not() -> None:
     world = LongWorld()
     maintenance = OperatorOverrides(lambda: 7_000_000, world.engine.update_endpoints, world.engine.directory)
-    maintenance.listed(told(*(box(n) for n in range(2000))))
+    maintenance.apply_list(told(*(box(n) for n in range(2000))))
     held = world.held()
     for name in (next(iter(held)), next(n for n in world.engine.directory if n not in held)):
         assert maintenance.take_offline(name)
         assert world.engine.directory[name].status == "draining" and world.last.ready_total == 1999
         assert [b.state for b in world.last.endpoints] == [EndpointState.DRAINING] * (name in held)
-        parts = {n: packed for part in maintenance.parts() for n, packed in part.items()}
+        parts = {n: packed for part in maintenance.entry_batches() for n, packed in part.items()}
         assert (
             len(parts) == 2000 and EndpointEntry.unpacked(name, parts[name]).status == "up"
         )  # as discovery told it
@@ -317,13 +317,13 @@
 
 
 def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(maintenance_module, "GONE", 100)
+    monkeypatch.setattr(maintenance_module, "MAX_REMOVED_NAMES", 100)
     maintenance = OperatorOverrides(lambda: 0, lambda listing, kind: None)
-    maintenance.listed(told(box(0)))
+    maintenance.apply_list(told(box(0)))
     maintenance.take_offline(box(0)["name"])
     for n in range(300):
-        maintenance.listed(told(box(n, "removed"), box(n + 1), whole=False))
-    assert len(maintenance._gone) == 100 and list(maintenance.entries) == [box(300)["name"]]
+        maintenance.apply_list(told(box(n, "removed"), box(n + 1), whole=False))
+    assert len(maintenance._removed_names) == 100 and list(maintenance.entries) == [box(300)["name"]]
     assert [maintenance.put_online(box(n)["name"]) for n in (0, 1, 299, 300, 301)] == [
         True,
         False,
@@ -331,7 +331,7 @@
         True,
         False,
     ]
-    maintenance.listed(told(box(0), whole=False))
+    maintenance.apply_list(told(box(0), whole=False))
     assert maintenance.entries[box(0)["name"]].status == "up"
 
 
--- a/tests/test_net_main.py
+++ b/tests/test_net_main.py
@@ -4,43 +4,15 @@
 
 import asyncio
 import json
-import os
 import signal
-import subprocess
-import sys
 import urllib.request
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from tests.net_helpers import HOST, OK, RAW, Peer, PeerServer, answers, read_answer, request
-
-ROOT = Path(__file__).parent.parent
-
-
-def start(path: Path, fds: tuple[int, ...] = (), **more: str) -> subprocess.Popen[str]:
-    env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")} | more
-    env["EDGE_CONFIG"] = str(path)
-    command = [sys.executable, "-m", "quota_ingress"]
-    return subprocess.Popen(command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True, pass_fds=fds)
-
-
-def listens(ran: subprocess.Popen[str]) -> int:
-    """The port that it took, as its log tells."""
-    assert ran.stderr
-    line = ran.stderr.readline()
-    while line and "listening on " not in line:
-        line = ran.stderr.readline()
-    return int(line.rpartition(":")[2])
-
-
-def config(**changes: Any) -> dict[str, Any]:
-    nowhere = f"{HOST}:1"
-    base = {"name": "n0", "listen": f"{HOST}:0", "discovery": nowhere, "counter": nowhere, "seed": "8c1f"}
-    known = {"index": 1, "snapshot": True, "endpoints": []}
-    return base | {"limits": {}, "settings": RAW, "known": known} | changes
+from tests.net_helpers import HOST, OK, PeerServer, answers, request
+from tests.process_helpers import as_counter, as_discovery, ask, config, listens, start
 
 
 @pytest.mark.parametrize(
@@ -119,34 +91,6 @@
         server.stop()
 
 
-def as_discovery(index: int, *backends: dict[str, Any]) -> Callable[[Peer], None]:
-    """Gives the whole list to whoever asks for it, and to a watch that names no version of this one's."""
-
-    def heard(peer: Peer) -> None:
-        while b"\r\n\r\n" in peer.data:
-            head, _, peer.data = peer.data.partition(b"\r\n\r\n")
-            body = json.dumps({"index": index, "snapshot": True, "endpoints": backends}).encode()
-            if b"watch=1" not in head:
-                peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-                continue
-            peer.server.watched.append(head.partition(b" HTTP")[0])
-            peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            if b"from=%d " % index not in head:
-                peer.transport.write(b"%x\r\n%b\n\r\n" % (len(body) + 1, body))
-            peer.server.changed.set()
-
-    return heard
-
-
-def as_counter(peer: Peer) -> None:
-    while b"\r\n" in peer.data:
-        call, _, peer.data = peer.data.partition(b"\r\n")
-        if call.startswith(b"add "):
-            peer.server.added.append(call)
-            peer.server.changed.set()
-        peer.transport.write(b"ok 1\r\n" if call.startswith(b"add ") else b"pong\r\n")
-
-
 async def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_after_it(tmp_path: Path) -> None:
     """Nobody sends a second signal: the old discovery would be the process's for good."""
     agents = [await PeerServer(as_discovery(5)).start() for _ in range(2)]
@@ -203,12 +147,3 @@
     assert ran.returncode == 0 and "Traceback" not in errors
     for peer_server in (*servers, *agents, *counters):
         peer_server.stop()
-
-
-async def ask(port: int, data: bytes) -> bytes:
-    reader, writer = await asyncio.open_connection(HOST, port)
-    writer.write(data)
-    try:
-        return await read_answer(reader)
-    finally:
-        writer.close()
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -28,7 +28,7 @@
     read_answer,
     request,
 )
-from tests.test_net_main import config, listens, start
+from tests.process_helpers import config, listens, start
 
 COPY = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy"
 
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -19,7 +19,7 @@
 from quota_ingress.policy.endpoint_list import EndpointsListed
 from quota_ingress.policy.endpoint_set import COLD_PART
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
-from tests.test_net_main import ask, config, listens, start
+from tests.process_helpers import ask, config, listens, start
 
 SECOND = 1_000_000
 NOW = 1_800_000_000 * SECOND  # the fleet's clock
@@ -134,11 +134,11 @@
     engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), loop, lambda: clock)
     engine.upstream = Pretended()
     maintenance = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
-    engine.restored_at = maintenance.put_back_at
+    engine.restored_at = maintenance.restarted_at
 
     def told(*entries: tuple[str, int], whole: bool) -> dict[str, int]:
         named = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in entries]
-        maintenance.listed(EndpointList({"index": 1, "snapshot": whole, "endpoints": named}))
+        maintenance.apply_list(EndpointList({"index": 1, "snapshot": whole, "endpoints": named}))
         return {b.hash_key: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
     told(("a", NOW - 30 * SECOND), ("b", NOW - 40 * SECOND), whole=True)
--- a/tests/test_net_system_calls.py
+++ b/tests/test_net_system_calls.py
@@ -15,7 +15,7 @@
 
 from ingress_testbed.faults import SHORT, Call, Faults, build
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
-from tests.test_net_main import ask, config, listens, start
+from tests.process_helpers import ask, config, listens, start
 
 ASKED = 60
 NAMES = 8  # of the backend: with fewer, a few requests at once would be refused as too many
--- a/tests/test_net_trace.py
+++ b/tests/test_net_trace.py
@@ -12,7 +12,7 @@
 
 from quota_ingress.net.event_log import EventLog
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
-from tests.test_net_main import ask, config, listens, start
+from tests.process_helpers import ask, config, listens, start
 
 
 def test_events_are_counted_and_written_only_where_that_is_switched_on(
--- a/tests/test_net_watch.py
+++ b/tests/test_net_watch.py
@@ -19,7 +19,7 @@
 from quota_ingress.net.discovery.endpoint_list import Document, EndpointList
 from quota_ingress.net.discovery.watch import Discovery, Watch
 from tests.net_helpers import HOST, Peer, PeerServer
-from tests.test_net_main import config
+from tests.process_helpers import config
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LARGE = 200  # ingresses
@@ -320,7 +320,7 @@
     ingress = made_ingress(tmp_path, old)
     await ingress.start()
     assert ingress.sources
-    done, listed = asyncio.Event(), ingress.maintenance.listed
+    done, listed = asyncio.Event(), ingress.maintenance.apply_list
 
     def listed_then_read(listing: EndpointList, kind: Any = None) -> None:
         listed(listing, kind)
@@ -328,7 +328,7 @@
             done.set()
             watches[0].data_received(chunk(text(told(43, False, leaving="up"))))
 
-    monkeypatch.setattr(ingress.maintenance, "listed", listed_then_read)
+    monkeypatch.setattr(ingress.maintenance, "apply_list", listed_then_read)
     path = tmp_path / "other.json"
     path.write_text(json.dumps(config(discovery=f"{HOST}:{new.port}")))
     ingress.sources.reload(str(path))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,7 @@
 
 from quota_ingress import __main__ as main_module
 from tests.net_helpers import HOST, PeerServer
-from tests.test_net_main import config, listens, start
+from tests.process_helpers import config, listens, start
 
 READY = 10.0  # s in which nine in ten restarted processes have to be ready
 SHARE = 0.05  # of a core: what an ingress may have
