--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Peers and builders that test modules share."""
--- /dev/null
+++ b/tests/support/fake_network.py
@@ -0,0 +1,124 @@
+"""The engine without sockets: a fake loop, upstream and client round it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.engine.engine import Engine
+from quota_ingress.net.engine.ports import AttemptResult
+from quota_ingress.net.engine.requests import ParsedRequest
+from quota_ingress.net.engine.settings_index import SettingsIndex
+from quota_ingress.net.http import Body, MemoryBudget
+from quota_ingress.policy.actions import Action, SendAttempt
+from quota_ingress.policy.events import Event, Outcome, RequestArrived
+from tests.net_helpers import RAW, SETTINGS, Script
+
+START = 1_000_000_000
+
+
+class FakeTimer:
+    """A call that has been put off on the fake clock."""
+
+    def __init__(self, at: float, run: Callable[[], object]) -> None:
+        self.at, self.run, self.cancelled = at, run, False
+
+    def cancel(self) -> None:
+        self.cancelled = True
+
+
+class FakeExchange:
+    """An attempt that ends when the test says so."""
+
+    def __init__(self, data: bytes, ended: Callable[[AttemptResult], None]) -> None:
+        self.data, self.ended, self.aborted, self.ran = data, ended, False, True
+        self.written = True
+        self.started: Callable[[AttemptResult], None] = lambda answer: None
+
+    def abort(self) -> bool:
+        self.aborted = True
+        return self.ran
+
+    def withdraw(self) -> bool:
+        return False
+
+
+class FakeNetwork:
+    """An engine with a fake event loop, upstream and client: time moves by `pass_time`."""
+
+    def __init__(self, script: Script) -> None:
+        self.time, self.timers = START, list[FakeTimer]()
+        self.sent: list[FakeExchange] = []
+        self.removed_endpoints: list[int] = []
+        self.answers: list[Any] = []
+        self.script = script
+        index = SettingsIndex(SETTINGS, RAW)
+        self.engine = Engine(script, SETTINGS, index, self, self, lambda: self.time)
+
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> FakeTimer:
+        self.timers.append(FakeTimer(self.time + round(delay * 1e6), lambda: callback(*args)))
+        return self.timers[-1]
+
+    def pass_time(self, us: int) -> None:
+        end = self.time + us
+        while due := [t for t in self.timers if t.at <= end and not t.cancelled]:
+            first = min(due, key=lambda t: t.at)
+            self.timers.remove(first)
+            self.time = max(self.time, int(first.at))
+            first.run()
+        self.time = end
+
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
+
+    def reconcile(self, gone: Iterable[int]) -> None:
+        self.removed_endpoints += gone
+        for exchange in self.sent:
+            exchange.ended(AttemptResult(Outcome.CONNECT_FAILED))
+
+    def send(
+        self,
+        backend: int,
+        head: bytes,
+        ended: Callable[[AttemptResult], None],
+        once: bool,
+        body: Body | None,
+        started: Callable[[AttemptResult], None],
+        permit: Callable[[], bytes | None],
+    ) -> FakeExchange:
+        self.sent.append(FakeExchange(head + (permit() or b""), ended))
+        self.sent[-1].started = started
+        return self.sent[-1]
+
+    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None: ...
+
+    def close_idle_connections(self, backend: int) -> None: ...
+
+    def disconnected(self) -> bool:
+        return False
+
+    def respond(self, answer: AttemptResult) -> None:
+        self.answers.append(answer.body)
+
+    def reject(self, retry_after: int) -> None:
+        self.answers.append(retry_after)
+
+    def fail(self, timed_out: bool) -> None:
+        self.answers.append("late" if timed_out else "failed")
+
+    def ask(self, request_id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
+        body = Body(MemoryBudget())
+        body.whole = True
+        parsed = ParsedRequest(
+            request_id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body
+        )
+        return self.engine.on_request(parsed, self)
+
+
+def sender(*more: Action, timeout: int = 0) -> Callable[[Event], list[Action]]:
+    def rule(event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived):
+            return [SendAttempt(event.request, 1, timeout), *more]
+        return []
+
+    return rule
--- /dev/null
+++ b/tests/test_endpoint_registry.py
@@ -0,0 +1,33 @@
+"""The numbers and hash keys of endpoints, as the policy is told."""
+
+from __future__ import annotations
+
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.policy.endpoint_list import EndpointsListed
+from tests.net_helpers import Script
+from tests.support.fake_network import FakeNetwork, sender
+
+
+def test_endpoints_that_are_gone_are_forgotten_and_their_numbers_never_used_again() -> None:
+    network = FakeNetwork(Script(sender()))
+    for index in range(50):
+        names = [{"name": f"s-{index}", "address": "127.0.0.1:1", "status": "up"}]
+        if index:
+            names.append({"name": f"s-{index - 1}", "status": "removed"})
+        network.engine.update_endpoints(EndpointList({"index": index, "snapshot": False, "endpoints": names}))
+    assert len(network.engine.endpoints.numbers) == 1 and network.removed_endpoints == list(range(1, 50))
+    again = {"name": "s-3", "address": "127.0.0.1:1", "status": "up"}
+    network.engine.update_endpoints(EndpointList({"index": 60, "snapshot": False, "endpoints": [again]}))
+    assert network.script.of(EndpointsListed)[-1].endpoints[0].id == 51
+
+
+def test_an_endpoint_has_the_same_hash_key_whenever_it_was_first_listed() -> None:
+    def hash_keys(names: list[str]) -> dict[str, int]:
+        network = FakeNetwork(Script(sender()))
+        entries = [{"name": name, "address": "127.0.0.1:1", "status": "up"} for name in names]
+        network.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": entries}))
+        (event,) = network.script.of(EndpointsListed)
+        return {name: b.hash_key for name, b in zip(names, event.endpoints, strict=True)}
+
+    assert hash_keys(["s-1", "s-2", "s-3"]) == hash_keys(["s-3", "s-1", "s-2"])
+    assert len(set(hash_keys(["s-1", "s-2", "s-3"]).values())) == 3
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -30,7 +30,7 @@
 from quota_ingress.settings_codec import settings_from_json
 from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script
 from tests.process_helpers import ask, config, listens, start
-from tests.test_net_engine import World, sender
+from tests.support.fake_network import FakeNetwork, sender
 
 FLEET, MANY = 7100, 90_000
 LONG_FLEET = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
@@ -175,7 +175,7 @@
 # What the engine tells of a long list.
 
 
-class LongWorld(World):
+class LongWorld(FakeNetwork):
     """An ingress of a large fleet, to the real module if none is given."""
 
     def __init__(self, script: Any = None) -> None:
@@ -220,7 +220,7 @@
     world.engine.update_endpoints(told(*(box(n) for n in range(1000, 1050)), index=2, whole=False))
     left = {n for n, name in world.known.items() if name not in world.held()}
     gone = {b.id for b in world.last.endpoints if b.state is EndpointState.REMOVED}
-    assert gone == left == set(world.settled) and 400 < len(world.held()) < 650
+    assert gone == left == set(world.removed_endpoints) and 400 < len(world.held()) < 650
     new = {b.id for b in world.last.endpoints} - gone
     assert new <= set(world.known) and len(new) < 50 and world.last.ready_total == 1050
     world.engine.update_endpoints(
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -26,7 +26,7 @@
     request,
     send_first,
 )
-from tests.test_net_engine import World, sender
+from tests.support.fake_network import FakeNetwork, sender
 
 MEGABYTE = bytes(range(256)) * 4096
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -295,7 +295,7 @@
 
 
 def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
-    world = World(Script(sender(timeout=300_000)))
+    world = FakeNetwork(Script(sender(timeout=300_000)))
     body = Body(MemoryBudget())
     body.length = 1_000_000
     wanted = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
--- a/tests/test_net_send_rules.py
+++ b/tests/test_send_rules.py
@@ -29,7 +29,7 @@
     request,
     send_first,
 )
-from tests.test_net_engine import World
+from tests.support.fake_network import FakeNetwork
 
 NOW = 50_000_000
 UNTIL = NOW + 1_000_000
@@ -110,7 +110,7 @@
 def test_a_long_answer_that_nobody_wants_any_more_is_not_held() -> None:
     """Its request is over as it begins: what had come of it stayed counted as held for good."""
     rule: list[Action] = [SendAttempt(1, 1, 0), Fail(1)]  # and the attempt goes on
-    world = World(Script(lambda event: rule if isinstance(event, RequestArrived) else []))
+    world = FakeNetwork(Script(lambda event: rule if isinstance(event, RequestArrived) else []))
     assert world.ask()
     room = MemoryBudget()
     body = Body(room)
@@ -129,7 +129,7 @@
     body = Body(MemoryBudget())
     body.whole = True
     wanted = ParsedRequest(b"a", 0, 0, 7, 1.0, 1, 0, 1_000_000, NOW, False, b"", body)
-    asked = Request(1, wanted, World(Script()), UNTIL)
+    asked = Request(1, wanted, FakeNetwork(Script()), UNTIL)
     asked.body_complete_at, asked.answered = NOW, over
     asked.attempts = [*attempts, Attempt(len(attempts), 1, NOW)]
     return asked, asked.attempts[-1]
