--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -23,14 +23,14 @@
 from quota_ingress.net.discovery.endpoint_list import Document, EndpointEntry, EndpointList, Line
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy import subsetting
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.settings_codec import settings_from_json
 from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script
+from tests.process_helpers import ask, config, listens, start
 from tests.test_net_engine import World, sender
-from tests.test_net_main import ask, config, listens, start
 
 FLEET, MANY = 7100, 90_000
 LONG_FLEET = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
@@ -180,8 +180,8 @@
 
     def __init__(self, script: Any = None) -> None:
         super().__init__(script or Script(sender()))
-        self.engine = Engine(self.script, LONG_FLEET, SettingsIndex(LONG_FLEET, RAW), self, lambda: self.time)
-        self.engine.upstream = self
+        index = SettingsIndex(LONG_FLEET, RAW)
+        self.engine = Engine(self.script, LONG_FLEET, index, self, self, lambda: self.time)
         self.known: dict[int, str] = {}
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
@@ -192,7 +192,7 @@
         return self.script.of(EndpointsListed)[-1]
 
     def held(self) -> set[str]:
-        return set(self.engine._backends)
+        return set(self.engine.endpoints.numbers)
 
 
 def test_the_module_is_told_of_the_part_held_and_how_many_are_ready_in_all() -> None:
@@ -230,7 +230,7 @@
     assert world.held() == {box(n)["name"] for n in range(300, 1050)}
     for event in world.script.of(EndpointsListed):
         gateway.handle(0, event)
-    assert gateway.fleet.backends.keys() == set(world.engine._backends.values())
+    assert gateway.fleet.backends.keys() == set(world.engine.endpoints.numbers.values())
     assert len(gateway.fleet.ready) == gateway.fleet.total == 749
 
 
@@ -266,12 +266,12 @@
             directory, fleet = world.engine.directory, gateway.fleet
             assert {n: e.status for n, e in directory.items()} == {n: e["status"] for n, e in now.items()}
             assert fleet.total == directory.up == sum(e["status"] == "up" for e in now.values())
-            assert fleet.subset == world.engine._subset
-            assert fleet.backends.keys() == set(world.engine._backends.values())
+            assert fleet.subset == world.engine.endpoints.subset
+            assert fleet.backends.keys() == set(world.engine.endpoints.numbers.values())
             held = {world.known[n]: b.info.state is EndpointState.READY for n, b in fleet.backends.items()}
             assert held == {n: now[n]["status"] == "up" for n in held}
             ready = {n for n, e in now.items() if e["status"] == "up"}
-            assert ready & held.keys() == {n for n in ready if world.engine._holds(n)}
+            assert ready & held.keys() == {n for n in ready if world.engine.endpoints.in_subset(n)}
             assert world.engine.can_send == any(held.values())
 
 
@@ -279,15 +279,15 @@
     """s of CPU for one change, from the line to the module, the least of some."""
     world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
     maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
-    maintenance.listed(told(*(box(n) for n in range(count))))
-    held = next(int(name[2:], 16) for name in world.engine._backends)
+    maintenance.apply_list(told(*(box(n) for n in range(count))))
+    held = next(int(name[2:], 16) for name in world.engine.endpoints.numbers)
     for n in range(40):
         raw = {"index": 2 + n, "snapshot": False, "endpoints": [box(held, since_ms=n)]}
         document, line = Document(), json.dumps(raw).encode()
         begun = time.process_time()
         found = document.end(line)
         assert isinstance(found, EndpointList)
-        maintenance.listed(found)
+        maintenance.apply_list(found)
         costs.append(time.process_time() - begun)
     return min(costs)
 
@@ -302,13 +302,13 @@
 def test_operators_take_out_any_backend_that_is_listed_held_or_not() -> None:
     world = LongWorld()
     maintenance = OperatorOverrides(lambda: 7_000_000, world.engine.update_endpoints, world.engine.directory)
-    maintenance.listed(told(*(box(n) for n in range(2000))))
+    maintenance.apply_list(told(*(box(n) for n in range(2000))))
     held = world.held()
     for name in (next(iter(held)), next(n for n in world.engine.directory if n not in held)):
         assert maintenance.take_offline(name)
         assert world.engine.directory[name].status == "draining" and world.last.ready_total == 1999
         assert [b.state for b in world.last.endpoints] == [EndpointState.DRAINING] * (name in held)
-        parts = {n: packed for part in maintenance.parts() for n, packed in part.items()}
+        parts = {n: packed for part in maintenance.entry_batches() for n, packed in part.items()}
         assert (
             len(parts) == 2000 and EndpointEntry.unpacked(name, parts[name]).status == "up"
         )  # as discovery told it
@@ -317,13 +317,13 @@
 
 
 def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(maintenance_module, "GONE", 100)
+    monkeypatch.setattr(maintenance_module, "MAX_REMOVED_NAMES", 100)
     maintenance = OperatorOverrides(lambda: 0, lambda listing, kind: None)
-    maintenance.listed(told(box(0)))
+    maintenance.apply_list(told(box(0)))
     maintenance.take_offline(box(0)["name"])
     for n in range(300):
-        maintenance.listed(told(box(n, "removed"), box(n + 1), whole=False))
-    assert len(maintenance._gone) == 100 and list(maintenance.entries) == [box(300)["name"]]
+        maintenance.apply_list(told(box(n, "removed"), box(n + 1), whole=False))
+    assert len(maintenance._removed_names) == 100 and list(maintenance.entries) == [box(300)["name"]]
     assert [maintenance.put_online(box(n)["name"]) for n in (0, 1, 299, 300, 301)] == [
         True,
         False,
@@ -331,7 +331,7 @@
         True,
         False,
     ]
-    maintenance.listed(told(box(0), whole=False))
+    maintenance.apply_list(told(box(0), whole=False))
     assert maintenance.entries[box(0)["name"]].status == "up"
 
 
