--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -33,8 +33,8 @@
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.settings_codec import settings_from_json
 from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script
-from tests.test_net_engine import World, sender
-from tests.test_net_main import ask, config, listens, start
+from tests.process_helpers import ask, config, listens, start
+from tests.support.fake_network import FakeNetwork, sender
 
 FLEET, MANY = 7100, 90_000
 LONG_FLEET = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
@@ -183,7 +183,7 @@
 # What the engine tells of a long list.
 
 
-class LongWorld(World):
+class LongWorld(FakeNetwork):
     """An ingress of a large fleet, to the real module if none is given."""
 
     def __init__(self, script: Any = None) -> None:
@@ -228,7 +228,7 @@
     world.engine.update_endpoints(told(*(box(n) for n in range(1000, 1050)), index=2, whole=False))
     left = {n for n, name in world.known.items() if name not in world.held()}
     gone = {b.id for b in world.last.endpoints if b.state is EndpointState.REMOVED}
-    assert gone == left == set(world.settled) and 400 < len(world.held()) < 650
+    assert gone == left == set(world.removed_endpoints) and 400 < len(world.held()) < 650
     new = {b.id for b in world.last.endpoints} - gone
     assert new <= set(world.known) and len(new) < 50 and world.last.ready_total == 1050
     world.engine.update_endpoints(
@@ -289,7 +289,7 @@
     """s of CPU for one change, from the line to the module, the least of some."""
     world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
     maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
-    maintenance.listed(told(*(box(n) for n in range(count))))
+    maintenance.apply_list(told(*(box(n) for n in range(count))))
     held = next(int(name[2:], 16) for name in world.engine.endpoints.numbers)
     for n in range(40):
         raw = {"index": 2 + n, "snapshot": False, "endpoints": [box(held, since_ms=n)]}
@@ -297,7 +297,7 @@
         begun = time.process_time()
         found = document.end_line(line)
         assert isinstance(found, EndpointList)
-        maintenance.listed(found)
+        maintenance.apply_list(found)
         costs.append(time.process_time() - begun)
     return min(costs)
 
@@ -312,13 +312,13 @@
 def test_operators_take_out_any_backend_that_is_listed_held_or_not() -> None:
     world = LongWorld()
     maintenance = OperatorOverrides(lambda: 7_000_000, world.engine.update_endpoints, world.engine.directory)
-    maintenance.listed(told(*(box(n) for n in range(2000))))
+    maintenance.apply_list(told(*(box(n) for n in range(2000))))
     held = world.held()
     for name in (next(iter(held)), next(n for n in world.engine.directory if n not in held)):
         assert maintenance.take_offline(name)
         assert world.engine.directory[name].state is EndpointState.DRAINING and world.last.ready_total == 1999
         assert [b.state for b in world.last.endpoints] == [EndpointState.DRAINING] * (name in held)
-        parts = {n: packed for part in maintenance.parts() for n, packed in part.items()}
+        parts = {n: packed for part in maintenance.entry_batches() for n, packed in part.items()}
         assert (
             len(parts) == 2000 and unpack_entry(name, parts[name]).state is EndpointState.READY
         )  # as discovery told it
@@ -327,13 +327,13 @@
 
 
 def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(maintenance_module, "GONE", 100)
+    monkeypatch.setattr(maintenance_module, "MAX_REMOVED_NAMES", 100)
     maintenance = OperatorOverrides(lambda: 0, lambda listing, kind: None)
-    maintenance.listed(told(box(0)))
+    maintenance.apply_list(told(box(0)))
     maintenance.take_offline(box(0)["name"])
     for n in range(300):
-        maintenance.listed(told(box(n, "removed"), box(n + 1), whole=False))
-    assert len(maintenance._gone) == 100 and list(maintenance.entries) == [box(300)["name"]]
+        maintenance.apply_list(told(box(n, "removed"), box(n + 1), whole=False))
+    assert len(maintenance._removed_names) == 100 and list(maintenance.entries) == [box(300)["name"]]
     assert [maintenance.put_online(box(n)["name"]) for n in (0, 1, 299, 300, 301)] == [
         True,
         False,
@@ -341,7 +341,7 @@
         True,
         False,
     ]
-    maintenance.listed(told(box(0), whole=False))
+    maintenance.apply_list(told(box(0), whole=False))
     assert maintenance.entries[box(0)["name"]].state is EndpointState.READY
 
 
