--- /dev/null
+++ b/quota_ingress/policy/counted_quota.py
@@ -0,0 +1,238 @@
+"""The quota of a customer whose requests come through many gateways.
+
+Each gateway sees few of the requests and knows next to nothing of the shared bucket but from the counter, so
+the decaying count of the use by all gateways decides.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from quota_ingress.policy.call_pacing import CallPacing
+from quota_ingress.policy.customer_quota import Verdict
+from quota_ingress.policy.decaying_count import EPOCH_WINDOWS, DecayingCount
+from quota_ingress.policy.durations import SECOND
+from quota_ingress.policy.events import CounterAnswered
+from quota_ingress.policy.lease import (
+    LEASE_DURATION_S,
+    MAX_COUNTER_TTL,
+    CounterCall,
+    LeaseStatistics,
+    counter_name,
+)
+from quota_ingress.policy.quota_state import NEVER, QuotaState
+from quota_ingress.policy.settings import Plan
+from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
+
+if TYPE_CHECKING:
+    from quota_ingress.policy.request_state import Request
+
+WIDE_CUSTOMER_GATEWAYS = 12  # a customer of more gateways than this has a counted quota
+MIN_RETENTION = 60 * SECOND  # us
+MAX_LEASE_FRACTION = 0.25  # of the available units: the most that one gateway takes ahead
+MAX_DEFER_FRACTION = 0.1  # of the latency objective that a request may wait for its call to the counter
+LIKELY_SUCCESS_RATE = 0.5  # of leases, above which a request waits for its call
+SUCCESS_SMOOTHING = 0.6  # weight of the last lease in the success rate
+LOST_COUNT_TOLERANCE = 0.99  # a total below this part of what a call has just added is not that count
+
+
+class CountedQuota(QuotaState):
+    """Leases from the decaying count."""
+
+    __slots__ = ("_statistics", "_uses_count", "count", "last_answer_at", "lease_success_rate")
+
+    def __init__(
+        self,
+        plan: Plan,
+        gateway_count: int,
+        slot_duration: int,
+        now: int,
+        *,
+        counter_allowed: bool,
+        statistics: LeaseStatistics,
+    ) -> None:
+        super().__init__(plan, gateway_count, slot_duration, now)
+        self._uses_count = counter_allowed and plan.rate > 0
+        self._statistics = statistics
+        self.count = DecayingCount(plan.burst, self.window)
+        self.last_answer_at = NEVER
+        self.lease_success_rate = -1.0  # of leases that brought units; below 0: none was requested
+
+    def retention(self) -> int:
+        """Returns the us after the last request during which the state is of use."""
+        return max(MIN_RETENTION, super().retention())
+
+    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
+        """Decides on a request by the leased units and the decaying count."""
+        if not self._uses_count:
+            return super().assess(request, now, pacing, answered)
+        units = request.event.units
+        self.count.decay_to(now)
+        available = self.count.available(units)
+        if self.count.leased_units >= units and not self.waiting:
+            return Verdict.ADMIT
+        if answered or (available < units and not self.lease_requested):
+            return Verdict.OVER_QUOTA  # the other gateways can but have used more
+        if self.lease_requested:
+            return Verdict.AWAIT_LEASE
+        success_rate = self._expected_success_rate()
+        if pacing.unused_fraction(now) >= 1 - success_rate:  # unlikely leases get the last of the calls
+            return Verdict.REQUEST_LEASE
+        if self._is_hardly_used(now, units, available):
+            return Verdict.ADMIT  # the next call reports it
+        may_wait_until = request.came + MAX_DEFER_FRACTION * request.cls.latency_objective
+        if success_rate > LIKELY_SUCCESS_RATE and now < may_wait_until:
+            return Verdict.DEFER
+        return Verdict.WITHOUT_COUNTER
+
+    def _expected_success_rate(self) -> float:
+        if self.lease_success_rate >= 0:
+            return self.lease_success_rate
+        return self._statistics.success_rates[self.plan]
+
+    def _is_hardly_used(self, now: int, units: float, available: float) -> bool:
+        """Returns whether a recent count was under half of the limit."""
+        is_recent = now - self.last_answer_at < self.window
+        return is_recent and available - units > self.count.limit(units) / 2
+
+    def spend(self, units: float) -> None:
+        """Takes the units of an admitted request off the lease."""
+        if self._uses_count:
+            self.count.leased_units -= units
+        else:
+            super().spend(units)
+
+    def admitted_fraction_without_counter(self, now: int, units: float, is_retry: bool) -> float:
+        """Returns the chance of admission; that of an unknown customer also goes by its plan's customers."""
+        fraction = super().admitted_fraction_without_counter(now, units, is_retry)
+        if self.lease_success_rate < 0:
+            fraction *= self._statistics.success_rates[self.plan]
+        return fraction
+
+    def spend_without_counter(self, now: int, units: float) -> None:
+        """Takes the units off the local allowance; the next call reports them."""
+        super().spend_without_counter(now, units)
+        self._statistics.record_unanswered_request()
+        self.count.decay_to(now)
+        self.count.leased_units -= units
+
+    def request_lease(self, now: int, congestion: float) -> CounterCall:
+        """Returns the call for the first waiting request, and whole requests of recent demand."""
+        first = self.waiting[0].event
+        units = first.units
+        available = self.count.available(units) - units
+        ahead = min(self.demand.rate * LEASE_DURATION_S, MAX_LEASE_FRACTION * available)
+        ahead = ahead // units * units if units else 0.0
+        unreported = self.count.take_unreported()
+        self.lease_requested = True
+        name = counter_name(first.customer, self.count.epoch_number(now))
+        return self._call(name, self.count.epoch_start(now), now, units + ahead, unreported, is_lease=True)
+
+    def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
+        """Takes back what a call was to report, if the counter added nothing."""
+        self.count.decay_to(now)
+        if not was_added:
+            self.count.leased_units -= call.unreported_units
+
+    def on_lease_answer(
+        self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
+    ) -> list[CounterCall]:
+        """Takes the leased units that the count leaves; what is past its limit is added back.
+
+        Use without the counter is missing in the count. In that measure, leases past the limit are left in
+        it: this saves calls where the counter has no capacity for all of them, and it is of the same
+        customers, those at their limit. Any more of it would starve a customer that asks several times its
+        quota.
+        """
+        self._statistics.record_answer()
+        corrections: list[CounterCall] = []
+        faded = math.exp(-event.latency / self.window)  # what is left of units added with the call
+        total = event.total / self.count.weight(now, call.window_start)
+        leased = call.leased_units * faded
+        added = (call.leased_units + call.unreported_units) * faded
+        if self._was_lost(total, added):
+            missing = max(0.0, self.count.usage + added - max(total, 0.0))
+            corrections.append(self._correction(call, now, missing))
+            total = max(total, 0.0) + missing
+        excess = self._excess(leased, total, faded)
+        if excess > 0 and rng.random() < self._statistics.answered_fraction**2:
+            corrections.append(self._correction(call, now, -excess))
+        self.count.usage = total - excess
+        self.count.leased_units += (leased - excess) / faded
+        self.last_answer_at = now
+        self._record_lease(leased - excess, float(excess < leased))
+        return corrections
+
+    def _was_lost(self, total: float, added: float) -> bool:
+        """Returns whether the counter lacks what is known here: a new name, or a restarted counter."""
+        if total < LOST_COUNT_TOLERANCE * added:
+            return True
+        return self.count.usage + added - total > self.plan.burst / 2
+
+    def _excess(self, leased: float, total: float, faded: float) -> float:
+        """Returns the units of a lease that are past the limit; all if the rest would cover no request."""
+        units = self.waiting[0].event.units if self.waiting else 0.0
+        excess = min(leased, max(0.0, total - self.count.limit(units)))
+        if self.count.leased_units + leased - excess < units * faded:
+            return leased
+        return excess
+
+    def _record_lease(self, granted: float, brought_units: float) -> None:
+        """Learns from a lease; `brought_units` is 1 if it brought units, else 0."""
+        self.refill_rate = min(self.plan.rate, granted / LEASE_DURATION_S)
+        if brought_units:
+            self.local_allowance.spend(granted)
+        else:
+            self.local_allowance.units = 0.0
+        if self.lease_success_rate < 0:
+            self.lease_success_rate = self._statistics.success_rates[self.plan]
+            self._statistics.record_first_lease(self.plan, brought_units)
+        self.lease_success_rate += SUCCESS_SMOOTHING * (brought_units - self.lease_success_rate)
+
+    def _correction(self, call: CounterCall, now: int, units: float) -> CounterCall:
+        return self._call(call.counter_name, call.window_start, now, units)
+
+    def _call(
+        self,
+        name: int,
+        epoch_start: int,
+        now: int,
+        units: float,
+        unreported: float = 0.0,
+        is_lease: bool = False,
+    ) -> CounterCall:
+        return CounterCall(
+            self,
+            name,
+            window_start=epoch_start,
+            amount=(units + unreported) * self.count.weight(now, epoch_start),
+            ttl=min(MAX_COUNTER_TTL, 2 * EPOCH_WINDOWS * self.window),
+            leased_units=units,
+            unreported_units=unreported,
+            is_lease=is_lease,
+        )
+
+    def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
+        """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        snapshot = replace(
+            super().hand_over(customer, plan),
+            last_answer_at=self.last_answer_at,
+            counted_usage=self.count.usage,
+            counted_lease=self.count.leased_units,
+            decayed_at=self.count.decayed_at,
+            lease_success_rate=self.lease_success_rate,
+        )
+        self.count.leased_units = 0.0
+        return snapshot
+
+    def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
+        """Takes over the state that another process handed over."""
+        super().restore(snapshot)
+        self.count.usage = snapshot.counted_usage
+        self.count.leased_units = snapshot.counted_lease
+        self.count.decayed_at = snapshot.decayed_at
+        self.last_answer_at = snapshot.last_answer_at
+        self.lease_success_rate = snapshot.lease_success_rate
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -12,7 +12,7 @@
     SetTimer,
     SubscribeToEndpoints,
 )
-from quota_ingress.policy.admission import SPARE, AdmissionController
+from quota_ingress.policy.admission import OPTIONAL_WORK_MAX_USAGE, AdmissionController
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
 from quota_ingress.policy.endpoint_set import Endpoint, EndpointSet
@@ -61,7 +61,7 @@
             case TimerFired(token):
                 if (request := self.requests.get(token)) and not request.attempts:
                     self.admission.on_timer(request)
-                elif request and self.fleet.used() < SPARE:
+                elif request and self.fleet.used() < OPTIONAL_WORK_MAX_USAGE:
                     self.send(request)  # a second copy, only while backends have room for it
             case CounterAnswered():
                 self.admission.on_counter_answer(event)
@@ -105,7 +105,7 @@
             endpoints.usual = list(snapshot.baseline_latencies)
             endpoints.typical = list(snapshot.mean_slowdowns)
             endpoints.more = max(0.0, snapshot.fleet_headroom)
-            self.admission.call_pacing.set(snapshot.counter_congestion)
+            self.admission.call_pacing.set_congestion(snapshot.counter_congestion)
         for learned in snapshot.endpoints:
             endpoint = endpoints.backends.get(learned.id)
             if endpoint and len(learned.slowdown_by_class) == class_count:
@@ -154,7 +154,7 @@
         least = 0 if first else int(LAST_CHANCE * self.fleet.usual[event.request_class])
         over = len(request.attempts) >= self.settings.limits.max_attempts or self.now + least >= request.cut
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
-            over = over or account.ceiling_allowance < event.units
+            over = over or account.ceiling.units < event.units
         backend = (
             None
             if over
@@ -162,9 +162,9 @@
         )
         if backend is None:
             if first:
-                self.end(request, Reject(event.request, self.admission.slot_us))
+                self.end(request, Reject(event.request, self.admission.retry_after))
             return False
-        account.ceiling_allowance -= event.units if first else 0.0
+        account.ceiling.units -= event.units if first else 0.0
         number, timeout = len(request.attempts), request.cut - self.now
         patience = int(
             max(
@@ -197,7 +197,7 @@
         for load in [v for n, v in zip(self.settings.load_fields, event.load, strict=False) if n in BUSY]:
             attempt.backend.load, attempt.backend.load_at = load if 0 <= load < 1e6 else 0.0, self.now
         if self.settings.settles_after_response and event.outcome is Outcome.OK and event.settled_units > 0:
-            account.leased_units -= event.settled_units - request.event.units
+            account.settle(event.settled_units, request.event.units)
         if event.request_ended:
             self.finish(event.request)
         if event.request not in self.requests or any(a.out for a in request.attempts) or self.send(request):
--- /dev/null
+++ b/quota_ingress/policy/quota_state.py
@@ -0,0 +1,173 @@
+"""What both kinds of customer quota have in common."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quota_ingress.policy.borrowing_ring import BorrowingRing
+from quota_ingress.policy.call_pacing import CallPacing
+from quota_ingress.policy.customer_quota import Verdict
+from quota_ingress.policy.demand_rate import DemandRate
+from quota_ingress.policy.durations import SECOND
+from quota_ingress.policy.local_allowance import LocalAllowance
+from quota_ingress.policy.settings import Plan
+from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
+from quota_ingress.policy.token_bucket import TokenBucket
+
+if TYPE_CHECKING:
+    from quota_ingress.policy.request_state import Request
+
+NEVER = -60 * SECOND  # us: long before any moment of the process
+
+
+class QuotaState:
+    """The parts of a quota, and the decisions that do not depend on its kind."""
+
+    __slots__ = (
+        "bucket",
+        "ceiling",
+        "demand",
+        "gateway_count",
+        "in_flight",
+        "lease_requested",
+        "local_allowance",
+        "plan",
+        "refill_rate",
+        "ring",
+        "waiting",
+        "window",
+    )
+
+    def __init__(self, plan: Plan, gateway_count: int, slot_duration: int, now: int) -> None:
+        """Makes the quota of a customer not seen before.
+
+        Args:
+            plan: The customer's plan.
+            gateway_count: The gateways that its requests come through.
+            slot_duration: Length of a slot of the borrowing ring, in us.
+            now: The moment, in us.
+        """
+        self.plan = plan
+        self.gateway_count = gateway_count
+        self.window = SECOND  # us in which the bucket fills: one left alone for a window is full
+        if plan.rate:
+            self.window = max(SECOND, int(plan.burst / plan.rate * SECOND))
+        self.bucket = TokenBucket(plan.rate, plan.burst, now)
+        self.local_allowance = LocalAllowance(plan.rate, plan.burst, gateway_count, units=plan.burst)
+        # Empty at first: the gateway may have been restarted after it spent its part.
+        self.ceiling = LocalAllowance(plan.ceiling_rate, plan.ceiling_burst, gateway_count, units=0.0)
+        self.demand = DemandRate(self.window, now)
+        self.ring = BorrowingRing(slot_duration)
+        self.refill_rate = 0.0  # units a second: the last lease over its expected life
+        self.in_flight = 0  # attempts
+        self.waiting: list[Request] = []  # for the counter's answer
+        self.lease_requested = False
+
+    def record_arrival(self, now: int, units: float, is_retry: bool) -> None:
+        """Counts a request as demand, and refills the local parts."""
+        elapsed_s = self.demand.record(now, units, is_retry)
+        self.local_allowance.refill_to_fit(elapsed_s, units)
+        self.ceiling.refill(elapsed_s)
+
+    def book_retry(self, now: int, units: float) -> int:
+        """Returns the wait before a rejected request's retry in us; 0: there is no capacity in sight."""
+        return self.ring.book(now, units, self.refill_rate, self.demand.rate)
+
+    def settle(self, settled_units: float, estimated_units: float) -> None:
+        """Corrects the units of an answered request, which are known only with its response."""
+        self.bucket.leased_units -= settled_units - estimated_units
+
+    def retention(self) -> int:
+        """Returns the us after the last request during which the state is of use."""
+        return 3 * self.window
+
+    def take_waiting(self) -> list[Request]:
+        """Returns the requests that waited for a lease, which is no longer requested."""
+        waiting = self.waiting
+        self.waiting = []
+        self.lease_requested = False
+        return waiting
+
+    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
+        """Decides on a request by the leased units and the bound of the shared bucket.
+
+        Args:
+            request: The request.
+            now: The moment, in us.
+            pacing: Whether and when the counter may be called.
+            answered: The counter has just answered: what is not covered now is over the quota.
+        """
+        units = request.event.units
+        bucket = self.bucket
+        if not self.plan.rate or (bucket.leased_units >= units and not self.waiting):
+            bucket.advance_to(now)
+            return Verdict.ADMIT
+        if answered or bucket.remaining(now) + bucket.leased_units < units:
+            return Verdict.OVER_QUOTA
+        if pacing.answer_would_be_late(now, request.cut):
+            return Verdict.WITHOUT_COUNTER
+        if self.lease_requested:
+            return Verdict.AWAIT_LEASE
+        return Verdict.REQUEST_LEASE if pacing.may_call(now) else Verdict.WITHOUT_COUNTER
+
+    def spend(self, units: float) -> None:
+        """Takes the units of an admitted request off the lease."""
+        self.bucket.leased_units -= units
+
+    def admitted_fraction_without_counter(self, now: int, units: float, is_retry: bool) -> float:
+        """Returns the chance that a request of `units` is admitted while the counter cannot be asked.
+
+        A local allowance of less than a request gives a chance below 1, so that all gateways together
+        admit about the quota.
+        """
+        remaining = self.bucket.remaining(now)
+        even_part = self.plan.burst / self.gateway_count if is_retry else remaining
+        covered = min(self.local_allowance.units, remaining, even_part) / units if units else 1.0
+        if self.plan.burst >= units * self.gateway_count:
+            covered = covered // 1  # each gateway's part covers whole requests
+        return covered
+
+    def spend_without_counter(self, now: int, units: float) -> None:
+        """Takes the units of a request that was admitted without the counter off the local allowance."""
+        self.local_allowance.spend(units)
+        self.bucket.set_remaining(self.bucket.remaining(now) - units, now)
+
+    def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
+        """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        snapshot = self._snapshot(customer, plan)
+        self.bucket.leased_units = 0.0
+        self.local_allowance.units = 0.0
+        self.ceiling.units = 0.0
+        return snapshot
+
+    def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
+        """Takes over the state that another process handed over."""
+        self.bucket.set_remaining(snapshot.remaining_upper_bound, snapshot.remaining_at)
+        self.bucket.leased_units = snapshot.leased_units
+        self.local_allowance.units = snapshot.local_allowance
+        self.ceiling.units = snapshot.ceiling_allowance
+        self.refill_rate = snapshot.refill_rate
+        self.demand.rate = snapshot.demand_rate
+        self.demand.updated_at = snapshot.demand_at
+
+    def _snapshot(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
+        """Returns the common state; figures that the kind lacks have the values of a new customer."""
+        return CustomerQuotaSnapshot(
+            customer=customer,
+            plan=plan,
+            gateway_count=self.gateway_count,
+            remaining_upper_bound=self.bucket.remaining_upper_bound,
+            remaining_at=self.bucket.remaining_at,
+            local_allowance=self.local_allowance.units,
+            unreported_units=0.0,
+            leased_units=self.bucket.leased_units,
+            refill_rate=self.refill_rate,
+            last_answer_at=NEVER,
+            demand_rate=self.demand.rate,
+            demand_at=self.demand.updated_at,
+            ceiling_allowance=self.ceiling.units,
+            counted_usage=0.0,
+            counted_lease=0.0,
+            decayed_at=0,
+            lease_success_rate=-1.0,
+        )
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -3,9 +3,11 @@
 import pytest
 
 from quota_ingress.policy.actions import AddToCounter, Reject, SendAttempt
-from quota_ingress.policy.customer_quota import OFFSETS, CustomerQuota, counter_name
+from quota_ingress.policy.borrowing_ring import RETRY_OFFSETS, BorrowingRing, Slot
 from quota_ingress.policy.events import AttemptEnded, CounterAnswered, Outcome
 from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.lease import counter_name
+from quota_ingress.policy.leased_quota import LeasedQuota
 from tests.helpers import PLANS, SECOND, Counter, arrival, backend, listed, of, settings, settle
 
 
@@ -99,33 +101,34 @@
     assert sent <= 4
 
 
-def ring_account() -> CustomerQuota:
-    account = CustomerQuota(PLANS[0], 2, slot_duration=500_000, remaining_at=0)
-    account.refill_rate = 4.0  # W_a = (4 - 0) * 0.5 = 2 units a slot
-    return account
+def book(ring: BorrowingRing, now: int, refill_rate: float = 4.0, demand_rate: float = 0.0) -> int:
+    """Books one unit; by default W_a = (4 - 0) * 0.5 = 2 units a slot."""
+    return ring.book(now, 1.0, refill_rate, demand_rate)
 
 
 def test_ring_books_d0_then_doubling_offsets_then_rejects() -> None:
-    account = ring_account()
-    assert [account.book(0, 1.0) for _ in range(7)] == [500_000] * 6 + [0]
-    assert [slot[0] for slot in account.ring] == [2, 0, 2, 0, 2, 2, 2, 0]
-    assert [account.ring[i][1] for i in OFFSETS] == [4, 2, 0]  # empty slots passed gained one each
+    ring = BorrowingRing(slot_duration=500_000)
+    assert [book(ring, 0) for _ in range(7)] == [500_000] * 6 + [0]
+    assert [slot.capacity for slot in ring.slots] == [2, 0, 2, 0, 2, 2, 2, 0]
+    assert [ring.slots[i].borrowed_retries for i in RETRY_OFFSETS] == [
+        4,
+        2,
+        0,
+    ]  # empty slots passed gained one each
 
 
 def test_booked_retries_are_dropped_first_in_their_slot() -> None:
-    account = ring_account()
+    ring = BorrowingRing(slot_duration=500_000)
     for _ in range(6):
-        account.book(0, 1.0)
-    account.refill_rate = 0.0
-    assert [account.book(500_000, 1.0) for _ in range(4)] == [500_000] * 4  # B[0] was 4
-    assert account.ring[0][1] == 0
+        book(ring, 0)
+    assert [book(ring, 500_000, refill_rate=0.0) for _ in range(4)] == [500_000] * 4  # B[0] was 4
+    assert ring.slots[0].borrowed_retries == 0
 
 
 def test_spare_capacity_is_never_negative() -> None:
-    account = ring_account()
-    account.refill_rate, account.demand_rate = 0.0, 50.0
-    assert account.book(0, 1.0) == 0
-    assert all(slot == [0.0, 0] for slot in account.ring)
+    ring = BorrowingRing(slot_duration=500_000)
+    assert book(ring, 0, refill_rate=0.0, demand_rate=50.0) == 0
+    assert all(slot == Slot(0.0, 0) for slot in ring.slots)
 
 
 def test_same_arrivals_admit_drop_and_reject_by_what_the_ring_holds() -> None:
@@ -134,11 +137,12 @@
         g, counter = gateway(), Counter()
         settle(g, 0, arrival(1), counter)
         account = g.admission.customers[7]
-        account.leased_units = account.remaining_upper_bound = 0.0
-        account.refill_rate, account.demand_rate = 10.0, 0.0
-        account.book(0, 1.0)
-        for slot in account.ring:
-            slot[0] = booked
+        account.bucket.leased_units = account.bucket.remaining_upper_bound = 0.0
+        account.refill_rate = 10.0
+        account.demand.rate = 0.0
+        account.book_retry(0, 1.0)
+        for slot in account.ring.slots:
+            slot.capacity = booked
         answers.append(of(settle(g, 0, arrival(2), counter), Reject)[0].retry_after)
     assert answers == [0, 500_000]
 
@@ -216,8 +220,10 @@
     g, counter = gateway(), Counter()
     settle(g, 0, arrival(1), counter)
     account = g.admission.customers[7]
-    assert account.leased_units > 0
-    assert account.remaining(30 * SECOND) + account.leased_units == pytest.approx(PLANS[0].burst)
+    assert account.bucket.leased_units > 0
+    assert account.bucket.remaining(30 * SECOND) + account.bucket.leased_units == pytest.approx(
+        PLANS[0].burst
+    )
 
 
 def test_a_late_answer_of_the_counter_makes_calls_rarer() -> None:
@@ -230,7 +236,7 @@
 def test_what_has_been_leased_is_not_spent_again_while_the_counter_is_silent() -> None:
     g, counter = gateway(), Counter()
     settle(g, 0, arrival(1, units=2.0), counter)  # its part of the burst of 4 over two gateways
-    g.admission.customers[7].leased_units = 0.0
+    g.admission.customers[7].bucket.leased_units = 0.0
     actions = g.handle(1, arrival(2))
     for add in of(actions, AddToCounter):
         actions += g.handle(1, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 90_000))
@@ -243,16 +249,18 @@
         (add,) = of(g.handle(second * SECOND, arrival(second)), AddToCounter)
         spent = g.handle(second * SECOND, CounterAnswered(add.name, outcome, 0.0, 90_000))
         assert of(spent, SendAttempt)
-    assert g.admission.customers[7].unreported_units == 2.0
+    quota = g.admission.customers[7]
+    assert isinstance(quota, LeasedQuota)
+    assert quota.unreported_units == 2.0
     (add,) = of(g.handle(3 * SECOND, arrival(9)), AddToCounter)
-    assert g.admission.customers[7].unreported_units == 0.0 and add.amount >= 3.0
+    assert quota.unreported_units == 0.0 and add.amount >= 3.0
 
 
 @pytest.mark.parametrize(("took", "recovered"), [(3_000, True), (20_000, False)])
 def test_calls_come_back_soon_after_a_silence_if_answers_are_prompt(took: int, recovered: bool) -> None:
     """Forty gateways went on with one call a second each for half a minute, though answers took a few ms."""
     g = Gateway(settings(fleet_size=40), 1)
-    g.admission.call_pacing.congestion = g.admission.call_pacing.most
+    g.admission.call_pacing.congestion = g.admission.call_pacing.max_congestion
     calls = []
     for n in range(800):  # a hundred customers in a second
         now = SECOND + n * 10_000
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -27,10 +27,10 @@
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
 from quota_ingress.net.lifecycle.upgrade import NAME, Handover
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
-from quota_ingress.policy.customer_quota import counter_name
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.lease import counter_name
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, answers, entry, read_answer, request
 from tests.process_helpers import ask, config, listens, start
 
@@ -411,14 +411,17 @@
     for gateway in (old, new):
         listed(gateway, now)
     number = 0
-    while not (left := old.admission.customers[7].leased_units if number else 0.0):
+    while not (left := old.admission.customers[7].bucket.leased_units if number else 0.0):
         number, now = number + 1, now + 100_000
         lease(old, now, number)
         assert number < 50
     old.fleet.backends[1].limit = 9.0
     carried = old.hand_over()
     new.restore(carried)
-    assert new.admission.customers[7].leased_units == left and old.admission.customers[7].leased_units == 0
+    assert (
+        new.admission.customers[7].bucket.leased_units == left
+        and old.admission.customers[7].bucket.leased_units == 0
+    )
     assert new.fleet.backends[1].limit == 9.0
     actions, asked = lease(new, now, 1)
     assert asked == 0 and any(isinstance(a, SendAttempt) for a in actions)  # from the lease
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -153,14 +153,15 @@
     gateway = play.gateway
     assert not gateway.requests and not gateway.flying and not gateway.admission.pending_calls
     assert gateway.fleet.out == 0 and not any(b.out for b in gateway.fleet.backends.values())
-    for account in gateway.admission.customers.values():
-        assert account.in_flight == 0 and not account.waiting and not account.lease_requested
+    for customer, quota in gateway.admission.customers.items():
+        assert quota.in_flight == 0 and not quota.waiting and not quota.lease_requested
+        state = quota.hand_over(customer, plan=0)
         sums = (
-            account.leased_units,
-            account.unreported_units,
-            account.counted_lease,
-            account.counted_usage,
-            account.local_allowance,
-            account.remaining_upper_bound,
+            state.leased_units,
+            state.unreported_units,
+            state.counted_lease,
+            state.counted_usage,
+            state.local_allowance,
+            state.remaining_upper_bound,
         )
-        assert all(map(math.isfinite, sums)) and account.unreported_units >= 0
+        assert all(map(math.isfinite, sums)) and state.unreported_units >= 0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quota_ingress.policy.actions import Action, AddToCounter, Fail, Reject, SendAttempt, SetTimer
-from quota_ingress.policy.admission import PATIENCE
+from quota_ingress.policy.counted_quota import MAX_DEFER_FRACTION
 from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 from quota_ingress.policy.events import (
     AttemptEnded,
@@ -91,7 +91,7 @@
 
 def test_a_request_waits_for_its_turn_at_the_counter_and_is_then_decided() -> None:
     g, counter = wide(30), Counter()
-    g.admission.call_pacing.congestion, g.admission.call_pacing.next_at = 8.0, SECOND + 50_000
+    g.admission.call_pacing.congestion, g.admission.call_pacing.next_call_at = 8.0, SECOND + 50_000
     actions = g.handle(SECOND, arrival(1, gateway_count=30))
     (timer,) = of(actions, SetTimer)
     assert not of(actions, AddToCounter | Reject | SendAttempt)
@@ -101,9 +101,9 @@
 
 def test_a_request_whose_turn_does_not_come_is_decided_without_the_counter() -> None:
     g = wide(30)
-    g.admission.call_pacing.congestion, g.admission.call_pacing.next_at = 8.0, 60 * SECOND
+    g.admission.call_pacing.congestion, g.admission.call_pacing.next_call_at = 8.0, 60 * SECOND
     assert not of(g.handle(SECOND, arrival(1, gateway_count=30)), SendAttempt)
-    later = SECOND + int(PATIENCE * SECOND)
+    later = SECOND + int(MAX_DEFER_FRACTION * SECOND)
     assert of(g.handle(later, TimerFired(1)), SendAttempt)
 
 
@@ -112,7 +112,7 @@
     (ask,) = of(g.handle(SECOND, arrival(1, gateway_count=30)), AddToCounter)
     g.handle(SECOND, CounterAnswered(ask.name, Outcome.OK, 1e4, 1000))  # used up many times over
     now = 30 * SECOND  # fifteen windows later nothing of it is left, but that it asked too much
-    g.admission.call_pacing.congestion, g.admission.call_pacing.next_at = (
+    g.admission.call_pacing.congestion, g.admission.call_pacing.next_call_at = (
         4.0,
         now - SECOND // 8,
     )  # half of what may be called at one stroke
@@ -125,7 +125,7 @@
     (ask,) = of(g.handle(SECOND, arrival(1, gateway_count=30)), AddToCounter)
     g.handle(SECOND, CounterAnswered(ask.name, Outcome.TIMEOUT, 0.0, 30_000))  # sent, by its even part
     assert g.flying
-    g.admission.call_pacing.next_at = 0
+    g.admission.call_pacing.next_call_at = 0
     (ask,) = of(g.handle(SECOND, arrival(2, gateway_count=30)), AddToCounter)
     taken = ask.amount / math.exp(SECOND % (8 * 2 * SECOND) / (2 * SECOND))
     assert taken == pytest.approx(2.0)
@@ -325,12 +325,12 @@
     """Of two hundred refused asks, how many are given back after as many requests went on unheard."""
     g, now = wide(30), SECOND
     for n in range(unheard):
-        g.admission.call_pacing.next_at = 60 * SECOND  # no call may be made
+        g.admission.call_pacing.next_call_at = 60 * SECOND  # no call may be made
         g.handle(now, arrival(n, customer=n, gateway_count=30))
-        finish(g, now, g.handle(now + int(PATIENCE * SECOND), TimerFired(n)))
+        finish(g, now, g.handle(now + int(MAX_DEFER_FRACTION * SECOND), TimerFired(n)))
     calls, now = 0, now + SECOND
     for n in range(1000, 1200):
-        g.admission.call_pacing.next_at, g.admission.call_pacing.congestion = 0, 1.0
+        g.admission.call_pacing.next_call_at, g.admission.call_pacing.congestion = 0, 1.0
         (ask,) = of(g.handle(now, arrival(n, customer=n, gateway_count=30)), AddToCounter)
         back = g.handle(now, CounterAnswered(ask.name, Outcome.OK, 1e4, 1000))
         assert of(back, Reject)
@@ -347,12 +347,12 @@
 def test_a_customer_of_whom_nothing_is_known_goes_unheard_as_its_plans_customers_fare() -> None:
     g = wide(30)
     for n in range(30):  # of this plan, the last ones asked for were refused
-        g.admission.call_pacing.next_at = 0
+        g.admission.call_pacing.next_call_at = 0
         (ask,) = of(g.handle(SECOND, arrival(n, customer=n, gateway_count=30)), AddToCounter)
         g.handle(SECOND, CounterAnswered(ask.name, Outcome.OK, 1e4, 1000))
     sent = 0
     for n in range(100, 200):
-        g.admission.call_pacing.next_at = 60 * SECOND
+        g.admission.call_pacing.next_call_at = 60 * SECOND
         sent += finish(
             g, SECOND, g.handle(SECOND, arrival(n, customer=n, gateway_count=30, time_left=50_000))
         )
