--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -43,7 +43,7 @@
         self._as_discovered: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
         self._removed_names: OrderedDict[str, None] = OrderedDict()
         self._incoming_entries: dict[
-            str, str
+            str, PackedEntry
         ] = {}  # packed: told by the process that this one takes over from
 
     @property
