--- a/quota_ingress/net/backoff.py
+++ b/quota_ingress/net/backoff.py
@@ -5,6 +5,14 @@
 import math
 import random
 from collections.abc import Callable
+from typing import NamedTuple
+
+
+class BackoffRange(NamedTuple):
+    """The waits of a backoff, in seconds."""
+
+    initial: float
+    longest: float
 
 
 class Backoff:
--- a/quota_ingress/net/counter/client.py
+++ b/quota_ingress/net/counter/client.py
@@ -1,275 +1,177 @@
-"""The counter's client: calls written one behind another on a few connections, answered in their order."""
+"""The counter's client: spreads calls over a few connections, and reconnects them."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import logging
-import math
-from collections import deque
 from collections.abc import Callable
-from typing import cast
 
-from quota_ingress.net.backoff import Backoff
+from quota_ingress.net.backoff import Backoff, BackoffRange
+from quota_ingress.net.counter.connection import CallSequence, CounterConnection
+from quota_ingress.net.counter.protocol import encode_add
 from quota_ingress.net.dial import dial
 from quota_ingress.policy.events import Outcome
 
-LINES = 3  # of the 32 connections that the counter holds for an ingress
-FLEET_LINES = 24  # of all ingresses together; two each at least, as a stall shows only beside another one
-WAIT = 3  # times the settings' time-out: an answer that is a little late is worth more than none
-PING_EVERY = 2.5  # s: the counter closes what has stood idle for some 10 s or less
-SILENT = 2.0  # s without the answer that is due, after which the connection is taken for dead
-BACK_OFF = (0.05, 1.0)  # s between tries to connect: the first, the longest
-CONNECT_TIMEOUT = 1.0
-MAX_LINE = 256
-MAX_TTL_MS = 60_000
+MAX_CONNECTIONS = 3  # of the 32 that the counter holds for an ingress
+MIN_CONNECTIONS = 2  # a stall shows only beside another connection
+MAX_FLEET_CONNECTIONS = 24  # of all ingresses together, as far as each has its minimum
+TIMEOUT_FACTOR = 3  # times the settings' timeout: an answer that is a little late is worth more than none
+DRAIN_TIMEOUT = 2.0  # s
+RECONNECT_BACKOFF = BackoffRange(0.05, 1.0)
+CONNECT_TIMEOUT = 1.0  # s
 
-Answered = Callable[[Outcome, float], None]
-log = logging.getLogger(__name__)
+OnAnswer = Callable[[Outcome, float], None]
+_US_PER_SECOND = 1e6
+_OUTCOME_OF_FAILED_READ = {Outcome.REJECTED: Outcome.TIMEOUT, Outcome.CONNECT_FAILED: Outcome.RESET}
 
 
-class Progress:
-    """What tells a connection that has stalled from a counter that is slow: of the calls on all connections,
-    numbered as they are written, the last one written and the latest one answered.
-    """
-
-    __slots__ = ("answered", "written")
-
-    def __init__(self) -> None:
-        self.written = self.answered = 0
-
-
-class Call:
-    __slots__ = ("answered", "at", "line", "number", "ping", "reread")
-
-    def __init__(self, line: CounterConnection, answered: Answered | None, at: float, number: int) -> None:
-        self.line, self.answered, self.at = line, answered, at  # None: a ping, or a call that was given up
-        self.number = number
-        self.ping = answered is None
-        self.reread: Callable[[], None] | None = None
-
-    def end(self, outcome: Outcome, total: float = 0.0) -> None:
-        answered, self.answered = self.answered, None
-        if answered:
-            answered(outcome, total)
+class CounterClient:
+    """Adds to the counter's names over a few connections.
 
+    A malformed answer or a stall on one connection takes only its own calls with it. Calls for one name
+    follow one another on one connection while any is unanswered, so that they keep their order.
 
-class CounterClient:
-    """A few connections, so that a spoilt answer or a stall on one takes only its own calls with it."""
+    Attributes:
+        connected: Set once the first connection is up.
+    """
 
     def __init__(self, address: tuple[str, int], timeout_us: int, fleet_size: int = 1) -> None:
-        self._count = min(LINES, max(2, FLEET_LINES // fleet_size))
-        self.address, self.timeout = address, WAIT * timeout_us / 1e6
-        self.connected = asyncio.Event()  # set once the first connection is up
-        self._progress = Progress()
-        self._lines: list[CounterConnection] = []
-        self._homes: dict[int, Call] = {}  # by name, the last call unanswered: the next follows on its line
+        """Connects nothing before `start`.
+
+        Args:
+            address: Host and port of the counter.
+            timeout_us: The settings' timeout of a call, in microseconds.
+            fleet_size: Ingresses that share the counter.
+        """
+        self.connected = asyncio.Event()
+        self._address = address
+        self._timeout = TIMEOUT_FACTOR * timeout_us / _US_PER_SECOND
+        fleet_share = MAX_FLEET_CONNECTIONS // fleet_size
+        self._connection_count = min(MAX_CONNECTIONS, max(MIN_CONNECTIONS, fleet_share))
+        self._connections: list[CounterConnection] = []
+        self._sequence = CallSequence()
+        self._last_addition: dict[int, _Addition] = {}  # by name, the last one that is unanswered
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
+        """Connects, and keeps reconnecting, in tasks of its own."""
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._keep_connected()) for _ in range(self._count)]
+        self._tasks = [loop.create_task(self._keep_connected()) for _ in range(self._connection_count)]
 
     def stop(self) -> None:
+        """Ends all connections; calls that are unanswered end as reset."""
         for task in self._tasks:
             task.cancel()
-        for line in self._lines:
-            line.transport.abort()
+        for connection in self._connections:
+            connection.transport.abort()
 
     async def drain(self) -> None:
-        """Another takes its place: lets the calls under way end, within a while, and stops."""
+        """Lets the calls in flight end, within DRAIN_TIMEOUT, and stops: another client takes its place."""
         for task in self._tasks:
             task.cancel()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SILENT):
-                for line in self._lines[:]:
-                    await line.finish()
+            async with asyncio.timeout(DRAIN_TIMEOUT):
+                for connection in self._connections[:]:
+                    await connection.drain()
         self.stop()
 
-    def add(self, name: int, amount: float, ttl_us: int, answered: Answered) -> None:
-        home = self._homes.get(name)
-        line = home.line if home else None
-        if line is None or line.transport.is_closing():
-            now = asyncio.get_running_loop().time()
-            up = [x for x in self._lines if not x.transport.is_closing()]
-            line = min(up, key=lambda x: (x.late(now), x.waiting), default=None)
-        if line is None:
-            answered(Outcome.CONNECT_FAILED, 0.0)  # nothing was written
+    def add(self, name: int, amount: float, ttl_us: int, on_answer: OnAnswer) -> None:
+        """Adds to a name, which lives for `ttl_us` microseconds if it is new.
+
+        `on_answer` gets the outcome, and with Outcome.OK the total.
+        """
+        previous = self._last_addition.get(name)
+        connection = previous.connection if previous else None
+        if connection is None or connection.transport.is_closing():
+            connection = self._best_connection()
+        if connection is None:
+            on_answer(Outcome.CONNECT_FAILED, 0.0)  # nothing was written
             return
-
-        def done() -> None:
-            if self._homes.get(name) is call:  # the last one out for this name
-                del self._homes[name]
-
-        def ended(outcome: Outcome, total: float) -> None:
-            done()
-            answered(outcome, total)
-
-        def reread() -> None:
-            """Its answer came and can't be read: the amount was added, and a read tells the total. Not with
-            another call for the name behind it: answers for one name keep their order.
-            """
-            if self._homes.get(name) is not call:
-                ended(Outcome.RESET, 0.0)
-                return
-            done()
-            self.add(name, 0.0, ttl_us, read)
-
-        def read(outcome: Outcome, total: float) -> None:
-            never = {Outcome.REJECTED: Outcome.TIMEOUT, Outcome.CONNECT_FAILED: Outcome.RESET}
-            answered(never.get(outcome, outcome), total)  # the read never ran, but the amount was added
-
-        ttl = min(MAX_TTL_MS, max(1, ttl_us // 1000))
-        call = line.call(b"add %016x %.6f %d\r\n" % (name, amount, ttl), ended)
-        call.reread = reread if amount else None  # a read is not read again
-        self._homes[name] = call
+        addition = _Addition(self, connection, name, amount, ttl_us, on_answer)
+        connection.call(encode_add(name, amount, ttl_us), addition)
+        self._last_addition[name] = addition
+
+    def is_last(self, addition: _Addition) -> bool:
+        """Returns whether no further addition to the same name is unanswered."""
+        return self._last_addition.get(addition.name) is addition
+
+    def forget(self, addition: _Addition) -> None:
+        """Drops an addition that has ended."""
+        if self.is_last(addition):
+            del self._last_addition[addition.name]
+
+    def _best_connection(self) -> CounterConnection | None:
+        """Returns the connection with the fewest calls in flight, of those that are on time if any is."""
+        now = asyncio.get_running_loop().time()
+        return min(
+            (connection for connection in self._connections if not connection.transport.is_closing()),
+            key=lambda connection: (connection.is_late(now), connection.pending_count),
+            default=None,
+        )
 
     async def _keep_connected(self) -> None:
-        tries = Backoff(*BACK_OFF)
+        backoff = Backoff(*RECONNECT_BACKOFF)
         while True:
-            line = CounterConnection(self.timeout, self._progress)
-            try:
-                await dial(line, self.address, CONNECT_TIMEOUT)
-            except OSError:
-                pass
+            connection = CounterConnection(self._timeout, self._sequence)
+            if await self._serve(connection):
+                backoff.on_success()  # it answered until just now: the next attempt need not wait
             else:
-                self._lines.append(line)
-                self.connected.set()
-                await line.closed.wait()
-                self._lines.remove(line)
-                if line.heard:
-                    tries.on_success()
-                    continue  # it answered until just now: the next try need not wait
-            await asyncio.sleep(tries.next_wait())
+                await asyncio.sleep(backoff.next_wait())
 
-
-class CounterConnection(asyncio.Protocol):
-    """One connection. A call that has timed out keeps its place, so that its late answer is dropped and the
-    next is not taken for it.
-    """
-
-    transport: asyncio.Transport
-
-    def __init__(self, timeout: float, progress: Progress) -> None:
-        self.timeout, self.heard, self.closed = timeout, False, asyncio.Event()
-        self._progress = progress
-        self._loop = asyncio.get_running_loop()
-        self._calls: deque[Call] = deque()  # written, unanswered
-        self._timed: deque[Call] = deque()  # of these, the ones whose time-out is still to come
-        self._timer: asyncio.TimerHandle | None = None
-        self._beat: asyncio.TimerHandle | None = None
-        self._rest = b""
-        self._last = 0.0
-        self._empty = asyncio.Event()  # set when a line that is to finish has no call unanswered
-        self._finishing = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
-        self._last = self._loop.time()
-        self._tick()
-
-    @property
-    def waiting(self) -> int:
-        return len(self._calls)
-
-    def late(self, now: float) -> bool:
-        """It has stalled, or what is at the other end has: further calls would wait behind."""
-        given_up = self._calls and self._calls[0].answered is None and not self._calls[0].ping
-        return bool(given_up or (self._calls and now - self._calls[0].at > self.timeout))
-
-    def _stalled(self, now: float) -> bool:
-        """The call that is due has had its time, and one that was written after it has been answered."""
-        due = self._calls[0] if self._calls else None
-        return bool(due and now >= due.at + self.timeout and self._progress.answered > due.number)
-
-    async def finish(self) -> None:
-        """Returns once no call is unanswered."""
-        self._finishing = True
-        if self._calls:
-            await self._empty.wait()
-
-    def call(self, line: bytes, answered: Answered | None) -> Call:
-        self._last = self._loop.time()
-        self._progress.written += 1
-        call = Call(self, answered, self._last, self._progress.written)
-        self._calls.append(call)
-        self.transport.write(line)
-        if answered:
-            self._timed.append(call)
-            if self._timer is None:
-                self._timer = self._loop.call_later(self.timeout, self._expire)
-        return call
-
-    def data_received(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        for line in lines:
-            if not self._answer(line.rstrip(b"\r")):
-                self._spoilt()
-                return
-        if len(self._rest) > MAX_LINE:
-            self._spoilt()
-
-    def _spoilt(self) -> None:
-        """The first call has been added; of those behind it nothing is known, nor of what comes after."""
-        log.warning("counter: answer not understood")
-        self.transport.abort()
-        first = self._calls[0] if self._calls else None
-        if first and first.answered and first.reread:
-            self._calls.popleft()
-            first.answered = None
-            first.reread()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        for timer in (self._timer, self._beat):
-            if timer:
-                timer.cancel()
-        self.closed.set()
-        self._empty.set()
-        calls, self._calls = self._calls, deque()
-        for call in calls:
-            call.end(Outcome.RESET)  # written: it may have been added
-
-    def _answer(self, line: bytes) -> bool:
-        word, _, rest = line.partition(b" ")
-        outcome, total = Outcome.REJECTED, 0.0
-        if word == b"ok":
-            try:
-                outcome, total = Outcome.OK, float(rest)
-            except ValueError:
-                return False
-        if word not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
+    async def _serve(self, connection: CounterConnection) -> bool:
+        """Connects, and returns at the connection's end whether any call on it was answered."""
+        try:
+            await dial(connection, self._address, CONNECT_TIMEOUT)
+        except OSError:
             return False
-        if not self._calls or self._calls[0].ping != (word == b"pong"):  # out of step: nothing can be paired
+        self._connections.append(connection)
+        self.connected.set()
+        await connection.closed.wait()
+        self._connections.remove(connection)
+        return connection.has_answered
+
+
+class _Addition:
+    """One addition to a name, until its total or its failure is known."""
+
+    __slots__ = ("_amount", "_client", "_on_answer", "_ttl_us", "connection", "name")
+
+    def __init__(
+        self,
+        client: CounterClient,
+        connection: CounterConnection,
+        name: int,
+        amount: float,
+        ttl_us: int,
+        on_answer: OnAnswer,
+    ) -> None:
+        self.connection = connection
+        self.name = name
+        self._client = client
+        self._amount = amount
+        self._ttl_us = ttl_us
+        self._on_answer = on_answer
+
+    def finish(self, outcome: Outcome, total: float) -> None:
+        """Passes on the call's outcome."""
+        self._client.forget(self)
+        self._on_answer(outcome, total)
+
+    def recover_total(self) -> bool:
+        """Reads the total by adding nothing, as the amount has been added.
+
+        Answers for one name keep their order: with another call for it behind this one, the answer is lost. A
+        read is not repeated.
+        """
+        if not self._amount:
             return False
-        self.heard = True
-        call = self._calls.popleft()
-        self._progress.answered = max(self._progress.answered, call.number)
-        call.end(outcome, total)
-        if self._finishing and not self._calls:
-            self._empty.set()
+        if self._client.is_last(self):
+            self._client.forget(self)
+            self._client.add(self.name, 0.0, self._ttl_us, self._finish_read)
+        else:
+            self.finish(Outcome.RESET, 0.0)
         return True
 
-    def _expire(self) -> None:
-        now, self._timer = self._loop.time(), None
-        if self._stalled(now):  # what it carries is lost, the next call need not be
-            self.transport.abort()
-            return
-        while self._timed and (self._timed[0].answered is None or now >= self._timed[0].at + self.timeout):
-            self._timed.popleft().end(Outcome.TIMEOUT)
-        if self._timed and not self.closed.is_set():
-            left = self._timed[0].at + self.timeout - now
-            self._timer = self._loop.call_later(left, self._expire)
-
-    def _tick(self) -> None:
-        """A dead counter says nothing, nor does a stalled connection: only answers that stay away tell."""
-        now = self._loop.time()
-        if self._stalled(now):
-            self.transport.abort()
-            return
-        if self._calls and now - self._calls[0].at > SILENT:
-            log.warning("counter: silent for %.0f s, connecting anew", SILENT)
-            self.transport.abort()
-            return
-        if now - self._last >= PING_EVERY and not self._finishing:
-            self.call(b"ping\r\n", None)
-        self._beat = self._loop.call_later(PING_EVERY / 2, self._tick)
+    def _finish_read(self, outcome: Outcome, total: float) -> None:
+        """Passes on the read's outcome; where the read never ran, the amount was added all the same."""
+        self._on_answer(_OUTCOME_OF_FAILED_READ.get(outcome, outcome), total)
--- a/quota_ingress/net/discovery/watch_retry.py
+++ b/quota_ingress/net/discovery/watch_retry.py
@@ -12,17 +12,8 @@
 from collections import deque
 from collections.abc import Callable
 from enum import Enum, auto
-from typing import NamedTuple
-
-from quota_ingress.net.backoff import Backoff
-
-
-class BackoffRange(NamedTuple):
-    """The waits of a backoff, in seconds."""
-
-    initial: float
-    longest: float
 
+from quota_ingress.net.backoff import Backoff, BackoffRange
 
 NOTIFICATION_DEADLINE = 6.0  # s after which a change counts as notified
 CONNECT_TIMEOUT = 1.0  # s
--- a/tests/test_net_connect_timeout.py
+++ b/tests/test_net_connect_timeout.py
@@ -9,7 +9,9 @@
 import pytest
 
 from quota_ingress.net.counter import client as counter_module
-from quota_ingress.net.counter.client import CounterClient, CounterConnection
+from quota_ingress.net.counter import connection as connection_module
+from quota_ingress.net.counter.client import CounterClient
+from quota_ingress.net.counter.connection import CounterConnection
 from quota_ingress.net.discovery import watch as discovery_module
 from quota_ingress.net.discovery import watch_connection
 from quota_ingress.net.discovery.watch import DiscoveryWatch
@@ -46,8 +48,8 @@
 ) -> None:
     """Its beat went on, and wrote to what had been closed."""
     monkeypatch.setattr(counter_module, "CONNECT_TIMEOUT", LIMIT)
-    monkeypatch.setattr(counter_module, "PING_EVERY", 0.1)
-    monkeypatch.setattr(counter_module, "LINES", 1)
+    monkeypatch.setattr(connection_module, "PING_INTERVAL", 0.1)
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 1)
     made, raised = late_once(monkeypatch, CounterConnection), errors()
     server = await PeerServer(lambda peer: peer.transport.write(b"pong\r\n")).start()
     counter = CounterClient((HOST, server.port), 30_000, 24)
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -11,6 +11,7 @@
 
 from quota_ingress.net.backoff import Backoff
 from quota_ingress.net.counter import client as counter_module
+from quota_ingress.net.counter import connection as connection_module
 from quota_ingress.net.counter.client import CounterClient
 from quota_ingress.net.descriptors import DescriptorBudget
 from quota_ingress.net.discovery import watch as discovery_module
@@ -36,7 +37,7 @@
         self.counter.start()
         async with asyncio.timeout(10):
             await self.counter.connected.wait()
-            while len(self.counter._lines) < counter_module.LINES:
+            while len(self.counter._connections) < counter_module.MAX_CONNECTIONS:
                 await asyncio.sleep(0)
 
     def add(self, label: str, amount: float = 1.0, ttl_us: int = 4_000_000, name: int = 0xAB) -> None:
@@ -56,7 +57,7 @@
 
 @pytest.fixture(autouse=True)
 def one_line(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_module, "LINES", 1)  # but where a test says otherwise
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 1)  # but where a test says otherwise
 
 
 @pytest_asyncio.fixture
@@ -138,7 +139,7 @@
 async def test_a_spoilt_answer_or_a_stall_takes_only_its_own_connections_calls_with_it(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_module, "LINES", 2)
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
     calls = Calls(server, LONG)
     await calls.connect()
     calls.add("a", name=1)
@@ -170,7 +171,7 @@
 async def test_calls_keep_off_a_connection_that_is_late(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_module, "LINES", 2)
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
     calls = Calls(server, SHORT)
     await calls.connect()
     calls.add("stuck", name=1)
@@ -186,7 +187,7 @@
 async def test_a_connection_that_stalls_while_others_are_answered_is_replaced_at_once(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_module, "LINES", 2)
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
     calls = Calls(server, SHORT)
     await calls.connect()
     calls.add("stuck", name=1)
@@ -217,8 +218,8 @@
 async def test_an_idle_connection_is_pinged_and_a_silent_one_given_up(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_module, "PING_EVERY", 0.01)
-    monkeypatch.setattr(counter_module, "SILENT", 0.05)
+    monkeypatch.setattr(connection_module, "PING_INTERVAL", 0.01)
+    monkeypatch.setattr(connection_module, "DEAD_CONNECTION_TIMEOUT", 0.05)
     calls = Calls(server, LONG)
     await calls.connect()
     await server.until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
@@ -376,8 +377,8 @@
 
 
 async def test_a_large_fleet_holds_fewer_lines_to_the_counter_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_module, "LINES", 3)
-    assert [CounterClient((HOST, 1), LONG, size)._count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 3)
+    assert [CounterClient((HOST, 1), LONG, size)._connection_count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
 
 
 @pytest.mark.parametrize(("size", "kept"), [(4, 3), (48, 1)])
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -13,7 +13,7 @@
 from ingress_testbed.faults import Faults, build
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, age_tolerance
+from quota_ingress.net.discovery.start_times import LONG_AGO, MAX_CLOCK_STEP_US, StartTimes, age_tolerance
 from quota_ingress.net.engine.endpoint_registry import hash_key
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
@@ -115,8 +115,8 @@
 def test_what_lies_further_back_than_a_step_explains_is_long_ago() -> None:
     starts = StartTimes()
     assert starts.local_start("a", 0, NOW) == LONG_AGO
-    assert starts.local_start("a", NOW - GREATEST_STEP - 1, NOW) == LONG_AGO
-    assert starts.local_start("a", NOW - GREATEST_STEP + 1, NOW) != LONG_AGO
+    assert starts.local_start("a", NOW - MAX_CLOCK_STEP_US - 1, NOW) == LONG_AGO
+    assert starts.local_start("a", NOW - MAX_CLOCK_STEP_US + 1, NOW) != LONG_AGO
 
 
 def test_a_start_told_as_earlier_than_the_one_before_happens_now() -> None:
