--- a/ingress_testbed/soak/backends.py
+++ b/ingress_testbed/soak/backends.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ingress_testbed.soak.records import Arrival
-from ingress_testbed.soak.setup import KEYED, expected, key_of
+from ingress_testbed.soak.setup import WITH_KEY, expected_answer, idempotency_key
 from ingress_testbed.standins.sockets import Connection, Server, reset
 
 WORK = 0.03  # s for an answer, in the mean
@@ -108,14 +108,14 @@
         cls, asked = target.path.split("/")[1], parse_qs(target.query)
         request_id = headers.get(b"request-id", b"").decode()
         sound = asked.get("id") == [request_id] and asked.get("body") == [str(len(body))]
-        if cls == KEYED:
-            sound = sound and headers.get(b"idempotency-key", b"").decode() == key_of(request_id)
+        if cls == WITH_KEY:
+            sound = sound and headers.get(b"idempotency-key", b"").decode() == idempotency_key(request_id)
         seconds = int(told[:-1]) / (1000 if told.endswith("m") else 1e6)
         self._arrival = Arrival(
             request_id, self.address, self._began_at, time.monotonic(), seconds, sound=sound
         )
         self._of.arrivals.append(self._arrival)
-        self._begin(expected(request_id, body, int(asked.get("size", ["0"])[0])))
+        self._begin(expected_answer(request_id, body, int(asked.get("size", ["0"])[0])))
 
     def _begin(self, answer: bytes) -> None:
         rng, mode = self._of.rng, self._of.mode(self.address)
--- /dev/null
+++ b/ingress_testbed/soak/client_connection.py
@@ -0,0 +1,131 @@
+"""A client's connection: requests written, answers read and compared with what was asked."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import deque
+from dataclasses import dataclass
+
+import httptools
+
+from ingress_testbed.soak.client_request import ClientRequest
+from ingress_testbed.soak.records import Call, Ending
+from ingress_testbed.standins.sockets import Connection
+
+
+@dataclass(frozen=True, slots=True)
+class PendingCall:
+    """A request that has been written and has no answer yet."""
+
+    call: Call
+    request: ClientRequest
+    done: asyncio.Future[None]
+
+    def end(self, ending: Ending) -> None:
+        """Records how the call ended, unless that is known, and wakes who waits for it."""
+        end_call(self.call, ending)
+        if not self.done.done():
+            self.done.set_result(None)
+
+
+class ClientConnection(Connection):
+    """Answers come in the order of the requests.
+
+    Attributes:
+        pending: Requests without an answer, oldest first.
+        request_count: Requests asked for on it so far.
+        answer_begun: Some of the next answer has come.
+        closed: Is done once the connection has ended.
+    """
+
+    def __init__(self) -> None:
+        self.pending: deque[PendingCall] = deque()
+        self.request_count = 0
+        self.answer_begun = False
+        self.closed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._parser = httptools.HttpResponseParser(self)
+        self._body = bytearray()
+        self._drained = asyncio.Event()
+        self._drained.set()
+
+    def expect_answer(self, call: Call, request: ClientRequest) -> asyncio.Future[None]:
+        """Registers a request that is about to be written; the result is done once it has ended."""
+        pending = PendingCall(call, request, asyncio.get_running_loop().create_future())
+        call.first_on_connection = self.request_count == 0
+        call.behind_others = bool(self.pending)
+        self.request_count += 1
+        if self.transport.is_closing():
+            pending.end(Ending.CLOSED)
+        else:
+            self.pending.append(pending)
+        return pending.done
+
+    def forget(self, call: Call) -> None:
+        """Takes a call off: how the connection ends is not the call's end any more."""
+        self.pending = deque(pending for pending in self.pending if pending.call is not call)
+
+    async def send(self, data: bytes) -> None:
+        """Returns once the system has taken it all."""
+        if not self.transport.is_closing():
+            self.transport.write(data)
+            await self._drained.wait()
+
+    def pause_writing(self) -> None:
+        """The system takes no more for now."""
+        self._drained.clear()
+
+    def resume_writing(self) -> None:
+        """The system has taken what was written."""
+        self._drained.set()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Nothing is held back here: `send` returns when the system has the bytes."""
+        super().connection_made(transport)
+        self.transport.set_write_buffer_limits(high=0)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Ends all that is pending; only the oldest can have part of an answer."""
+        self._drained.set()
+        ending = Ending.RESET if exc else Ending.CLOSED
+        while self.pending:
+            self.pending.popleft().end(Ending.BROKEN if self.answer_begun else ending)
+            self.answer_begun = False
+        if not self.closed.done():
+            self.closed.set_result(None)
+
+    def data_received(self, data: bytes) -> None:
+        """Reads answers."""
+        self.answer_begun = True
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.transport.abort()
+
+    def on_message_begin(self) -> None:
+        """The parser has found an answer's first line."""
+        self._body = bytearray()
+
+    def on_body(self, part: bytes) -> None:
+        """The parser has some of an answer's body."""
+        self._body += part
+
+    def on_message_complete(self) -> None:
+        """The parser has a whole answer."""
+        status = self._parser.get_status_code()
+        if status == 100 or not self.pending:
+            return
+        self.answer_begun = False
+        pending = self.pending.popleft()
+        pending.call.status = status
+        pending.call.sound = status != 200 or bytes(self._body) == pending.request.expected_answer
+        pending.end(Ending.ANSWERED)
+        if not self._parser.should_keep_alive():
+            self.transport.close()
+
+
+def end_call(call: Call, ending: Ending) -> None:
+    """Records how a call ended, unless that is known."""
+    if call.ending is Ending.NO_ANSWER:
+        call.ending = ending
+        call.ended_at = time.monotonic()
--- a/ingress_testbed/soak/clients.py
+++ b/ingress_testbed/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run in one worker process: sound ones, and such that leave, dawdle or send nonsense."""
+"""The clients of a run in one worker process: valid ones, and such that leave, dawdle or send nonsense."""
 
 from __future__ import annotations
 
@@ -6,413 +6,335 @@
 import random
 import time
 import weakref
-from collections import deque
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-import httptools
 import msgspec
 
+from ingress_testbed.soak.client_connection import ClientConnection, end_call
+from ingress_testbed.soak.client_request import ClientRequest
 from ingress_testbed.soak.records import BadPeer, Call, Ending
-from ingress_testbed.soak.setup import CLASSES, CUSTOMERS, KEYED, SAFE, expected, key_of
-from ingress_testbed.standins.sockets import Connection, reset
+from ingress_testbed.soak.setup import WITH_KEY
+from ingress_testbed.standins.sockets import reset
 
 HOST = "127.0.0.1"
-PATIENCE = 1.5  # s past its time that a client still waits for its answer, to see whether one comes
-OWED = 3.0  # s in which a peer that sends no request gets an error or a close
-STAYS = 4.5  # s that such a peer stays
+CONNECT_TIMEOUT = 3.0  # s
+LATE_ANSWER_WAIT = 1.5  # s past its time that a client still waits, to see whether an answer comes
+BAD_PEER_ANSWER = 3.0  # s in which a peer that sends no request gets an error or a close
+BAD_PEER_STAY = 4.5  # s that such a peer stays
 NONSENSE = (b"\x16\x03\x01\x02\x00\x01\x00", b"HELO there\r\n\r\n", b"GET / HTTP/9\r\n\r\n")
-LONGEST_PIPELINED = 2_000  # bytes of a body
-BODIES = (0, 200, 5_000, 70_000, 300_000)
-BODY_WEIGHTS = (4, 4, 2, 1, 1)
-SIZES = (0, 1_000, 60_000, 200_000)
-SIZE_WEIGHTS = (8, 8, 1, 1)
-
-
-class Wish:
-    """What one request is, and the bytes that ask for it."""
-
-    def __init__(self, rng: random.Random, id: str, node: int, nodes: int) -> None:
-        self.id, self.cls = id, rng.choices(CLASSES, (5, 2, 3))[0]
-        self.timeout = rng.choices((rng.uniform(0.005, 0.05), rng.uniform(0.2, 1.0), 2.8), (1, 4, 5))[0]
-        self.body = b""
-        if self.cls != SAFE:
-            self.body = rng.randbytes(rng.choices(BODIES, BODY_WEIGHTS)[0])
-        self.size = rng.choices(SIZES, SIZE_WEIGHTS)[0]
-        self.customer = rng.randrange(CUSTOMERS)
-        self.chunked = self.cls != SAFE and rng.random() < 0.2
-        self._node, self._nodes = node, nodes
-
-    @property
-    def answer(self) -> bytes:
-        return expected(self.id, self.body, self.size)
-
-    def data(self) -> bytes:
-        target = f"/{self.cls}/x?id={self.id}&body={len(self.body)}&size={self.size}"
-        lines = [
-            f"{'GET' if self.cls == SAFE else 'POST'} {target} HTTP/1.1",
-            "Host: app.svc",
-            f"Request-Id: {self.id}",
-            "X-Plan: gold",
-            f"Cookie: customer={self.customer:016x}",
-            f"Request-Timeout: {max(1, round(self.timeout * 1000))}m",
-            f"X-Quota: units=1,spread=2,first={self._node % self._nodes}",
-        ]
-        if self.cls == KEYED:
-            lines.append(f"Idempotency-Key: {key_of(self.id)}")
-        body = self.body
-        if self.chunked:
-            lines.append("Transfer-Encoding: chunked")
-            body = (b"%x\r\n%b\r\n" % (len(body), body) if body else b"") + b"0\r\n\r\n"
-        elif self.cls != SAFE:
-            lines.append(f"Content-Length: {len(body)}")
-        return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
-
-
-class Link(Connection):
-    """A client's connection: requests that have no answer yet, in their order."""
-
-    def __init__(self) -> None:
-        self._parser = httptools.HttpResponseParser(self)
-        self.open: deque[tuple[Call, Wish, asyncio.Future[None]]] = deque()
-        self.asked = 0
-        self.heard = False  # some of the next answer has come
-        self.ended_at = 0.0
-        self.over: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._body = bytearray()
-        self._drained = asyncio.Event()
-        self._drained.set()
-
-    def ask(self, call: Call, wish: Wish) -> asyncio.Future[None]:
-        """Notes that a request has been handed over; done once it has ended."""
-        done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        call.first_on_connection, call.behind_others = self.asked == 0, bool(self.open)
-        self.asked += 1
-        if self.transport.is_closing():
-            self._end(call, Ending.CLOSED, done)
-        else:
-            self.open.append((call, wish, done))
-        return done
-
-    async def send(self, data: bytes) -> None:
-        """Returns once the system has taken it all."""
-        if not self.transport.is_closing():
-            self.transport.write(data)
-            await self._drained.wait()
-
-    def pause_writing(self) -> None:
-        self._drained.clear()
-
-    def resume_writing(self) -> None:
-        self._drained.set()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        super().connection_made(transport)
-        self.transport.set_write_buffer_limits(high=0)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.ended_at = time.monotonic()
-        self._drained.set()
-        ending = Ending.RESET if exc else Ending.CLOSED
-        while self.open:
-            call, _, done = self.open.popleft()
-            self._end(call, Ending.BROKEN if self.heard else ending, done)
-            self.heard = False
-        if not self.over.done():
-            self.over.set_result(None)
-
-    def data_received(self, data: bytes) -> None:
-        self.heard = True
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.transport.abort()
-
-    def on_message_begin(self) -> None:
-        self._body = bytearray()
+MAX_PIPELINED_BODY = 2_000  # bytes: more than the ingress's machine takes in would wait unseen by it
+MAX_PIPELINE_WAIT = 20.0  # s
+MAX_IDLE = 12  # connections to a node that are kept
+IDLE_CLOSE_WINDOW = (1.9, 2.35)  # s: the ingress may close an idle connection after 2 s
 
-    def on_body(self, part: bytes) -> None:
-        self._body += part
-
-    def on_message_complete(self) -> None:
-        status = self._parser.get_status_code()
-        if status == 100 or not self.open:
-            return
-        self.heard = False
-        call, wish, done = self.open.popleft()
-        call.status = status
-        call.sound = status != 200 or bytes(self._body) == wish.answer
-        self._end(call, Ending.ANSWERED, done)
-        if not self._parser.should_keep_alive():
-            self.transport.close()
-
-    def _end(self, call: Call, ending: Ending, done: asyncio.Future[None]) -> None:
-        if call.ending is Ending.NO_ANSWER:
-            call.ending, call.ended_at = ending, time.monotonic()
-        if not done.done():
-            done.set_result(None)
+Behaviour = Callable[[int], Coroutine[Any, Any, None]]
 
 
 class Clients:
+    """An open loop of clients; each draws how it behaves."""
+
     def __init__(self, seed: int, ports: list[int]) -> None:
-        self.rng, self.ports = random.Random(seed), ports
+        """`ports`: of the nodes, by their number."""
+        self.rng = random.Random(seed)
+        self.ports = ports
         self.calls: list[Call] = []
-        self.bad: list[BadPeer] = []
-        self.lag = 0.0
-        self._idle: dict[int, list[Link]] = {node: [] for node in range(len(ports))}
-        self._links = {node: weakref.WeakSet[Link]() for node in range(len(ports))}
+        self.bad_peers: list[BadPeer] = []
+        self.lag = 0.0  # s by which a client started late, at the most
+        self._idle: dict[int, list[ClientConnection]] = {node: [] for node in range(len(ports))}
+        self._connections = {node: weakref.WeakSet[ClientConnection]() for node in range(len(ports))}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._number = 0
-        self._ways: list[tuple[Callable[[int], Coroutine[Any, Any, None]], float]] = [
-            (self._plain, 74),
-            (self._leaves, 8),
-            (self._pipelines, 4),
-            (self._dawdles, 5),
-            (self._stops_in_head, 2),
-            (self._stops_in_body, 2),
-            (self._silent, 2),
-            (self._nonsense, 1),
-            (self._crosses_idle_close, 2),
-        ]
+        self._request_count = 0
+        self._behaviours: dict[Behaviour, int] = {  # with their weights
+            self._plain: 74,
+            self._leaves: 8,
+            self._pipelines: 4,
+            self._sends_slowly: 5,
+            self._stops_in_head: 2,
+            self._stops_in_body: 2,
+            self._silent: 2,
+            self._nonsense: 1,
+            self._crosses_idle_close: 2,
+        }
 
     async def run(self, rate: float, seconds: float) -> None:
-        """Open loop; returns once all has ended."""
-        end = due = time.monotonic()
-        end += seconds
-        ways, weights = zip(*self._ways, strict=True)
+        """Starts `rate` clients a second for `seconds`; returns once all have ended."""
+        behaviours = list(self._behaviours)
+        weights = list(self._behaviours.values())
+        due = time.monotonic()
+        end = due + seconds
         while (due := due + self.rng.expovariate(rate)) < end:
             if (wait := due - time.monotonic()) > 0:
                 await asyncio.sleep(wait)
             self.lag = max(self.lag, time.monotonic() - due)
-            (way,) = self.rng.choices(ways, weights)
-            self._start(way(self.rng.randrange(len(self.ports))))
+            (behaviour,) = self.rng.choices(behaviours, weights)
+            self.start(behaviour(self.rng.randrange(len(self.ports))))
         while self._tasks:
             await asyncio.wait(self._tasks)
-        for links in self._idle.values():
-            for link in links:
-                link.transport.close()
+        for connections in self._idle.values():
+            for connection in connections:
+                connection.transport.close()
 
     async def crowd(self, node: int, count: int, seconds: float) -> None:
-        """Connections that say nothing, all at once."""
-        links = [await self._connect(node) for _ in range(count)]
+        """Opens `count` connections that say nothing, and closes them after `seconds`."""
+        connections = [await self._connect(node) for _ in range(count)]
         await asyncio.sleep(seconds)
-        for link in links:
-            if link:
-                link.transport.close()
+        for connection in connections:
+            if connection:
+                connection.transport.close()
 
     def leave(self, node: int) -> None:
-        """All clients of a node that wait for an answer go at once."""
-        for link in list(self._links[node]):
-            if not link.open or link.transport.is_closing():
+        """Lets all clients of a node that wait for an answer leave at once."""
+        for connection in list(self._connections[node]):
+            if not connection.pending or connection.transport.is_closing():
                 continue
             now = time.monotonic()
-            for call, _, done in link.open:
-                call.ending, call.ended_at = Ending.LEFT, now
-                if not done.done():
-                    done.set_result(None)
-            link.open.clear()
-            reset(link.transport) if self.rng.random() < 0.5 else link.transport.close()
-
-    def _start(self, what: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(what)
+            for pending in connection.pending:
+                pending.call.ending = Ending.LEFT
+                pending.call.ended_at = now
+                if not pending.done.done():
+                    pending.done.set_result(None)
+            connection.pending.clear()
+            self._close_or_reset(connection)
+
+    def start(self, client: Coroutine[Any, Any, None]) -> None:
+        """Starts a client that `run` waits for."""
+        task = asyncio.get_running_loop().create_task(client)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         task.result()
 
-    def _wish(self, node: int) -> Wish:
-        self._number += 1
-        return Wish(self.rng, f"q{self._number:06x}-{node}", node, len(self.ports))
+    # What all behaviours share.
 
-    def _call(self, wish: Wish, node: int, again: bool = False) -> Call:
-        call = Call(wish.id, node, wish.cls, wish.timeout, time.monotonic(), False, again=again)
+    def _request(self, node: int) -> ClientRequest:
+        self._request_count += 1
+        request_id = f"q{self._request_count:06x}-{node}"
+        return ClientRequest(self.rng, request_id, node, len(self.ports))
+
+    def _call(self, request: ClientRequest, node: int, again: bool = False) -> Call:
+        sent_at = time.monotonic()
+        call = Call(request.id, node, request.request_class, request.timeout, sent_at, False, again=again)
         self.calls.append(call)
         return call
 
-    async def _connect(self, node: int) -> Link | None:
+    async def _connect(self, node: int) -> ClientConnection | None:
+        loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(3.0):
-                made = asyncio.get_running_loop().create_connection(Link, HOST, self.ports[node])
-                _, link = await made
-                self._links[node].add(link)
-                return link
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                _, connection = await loop.create_connection(ClientConnection, HOST, self.ports[node])
         except OSError:
             return None
-
-    async def _link(self, node: int) -> Link | None:
-        """A kept connection, however long it has rested, or a new one."""
-        links = self._idle[node]
-        while links:
-            link = links.pop(self.rng.randrange(len(links)))
-            if not link.transport.is_closing():
-                return link
+        self._connections[node].add(connection)
+        return connection
+
+    async def _connection(self, node: int) -> ClientConnection | None:
+        """Returns an idle connection, however long it has been idle, or a new one."""
+        idle = self._idle[node]
+        while idle:
+            connection = idle.pop(self.rng.randrange(len(idle)))
+            if not connection.transport.is_closing():
+                return connection
         return await self._connect(node)
 
-    def _keep(self, node: int, link: Link) -> None:
-        if not link.transport.is_closing() and not link.open and len(self._idle[node]) < 12:
-            self._idle[node].append(link)
+    def _keep(self, node: int, connection: ClientConnection) -> None:
+        usable = not connection.transport.is_closing() and not connection.pending
+        if usable and len(self._idle[node]) < MAX_IDLE:
+            self._idle[node].append(connection)
         else:
-            link.transport.close()
+            connection.transport.close()
 
-    async def _ended_within(self, call: Call, done: asyncio.Future[None], link: Link) -> None:
-        left = call.sent_at + call.timeout + PATIENCE - time.monotonic()
-        await asyncio.wait([done], timeout=max(0.0, left))
-        link.open = deque(asked for asked in link.open if asked[0] is not call)  # its end is not the call's
+    def _keep_if_answered(self, node: int, connection: ClientConnection, call: Call) -> None:
+        if call.ending is Ending.ANSWERED:
+            self._keep(node, connection)
+        else:
+            connection.transport.close()
 
-    async def _ask(self, wish: Wish, node: int, link: Link | None, again: bool = False) -> Call:
-        call = self._call(wish, node, again)
-        if link is None:
-            call.ending, call.ended_at = Ending.REFUSED, time.monotonic()
+    def _close_or_reset(self, connection: ClientConnection) -> None:
+        if self.rng.random() < 0.5:
+            reset(connection.transport)
+        else:
+            connection.transport.close()
+
+    async def _wait_for_end(
+        self, call: Call, done: asyncio.Future[None], connection: ClientConnection
+    ) -> None:
+        time_left = call.sent_at + call.timeout + LATE_ANSWER_WAIT - time.monotonic()
+        await asyncio.wait([done], timeout=max(0.0, time_left))
+        connection.forget(call)
+
+    async def _send(
+        self, request: ClientRequest, node: int, connection: ClientConnection | None, again: bool = False
+    ) -> Call:
+        """Sends a request and waits for its end."""
+        call = self._call(request, node, again)
+        if connection is None:
+            end_call(call, Ending.REFUSED)
             return call
-        done = link.ask(call, wish)
-        await link.send(wish.data())
+        done = connection.expect_answer(call, request)
+        await connection.send(request.encode())
         call.sent_at = time.monotonic()
-        await self._ended_within(call, done, link)
+        await self._wait_for_end(call, done, connection)
         return call
 
-    # The ways to behave.
+    # The behaviours.
 
     async def _plain(self, node: int) -> None:
-        wish, link = self._wish(node), await self._link(node)
-        call = await self._ask(wish, node, link)
+        """Sends a request; once more, on a new connection, if a close crossed it, as the protocol has it."""
+        request = self._request(node)
+        connection = await self._connection(node)
+        call = await self._send(request, node, connection)
         crossed = call.ending in (Ending.CLOSED, Ending.RESET) and not call.first_on_connection
-        if crossed:  # once more, on a new connection, as the protocol has it
-            link = await self._connect(node)
-            call = await self._ask(wish, node, link, again=True)
-        if link:
-            self._keep(node, link) if call.ending is Ending.ANSWERED else link.transport.close()
+        if crossed:
+            connection = await self._connect(node)
+            call = await self._send(request, node, connection, again=True)
+        if connection:
+            self._keep_if_answered(node, connection, call)
 
     async def _leaves(self, node: int) -> None:
-        wish, link = self._wish(node), await self._link(node)
-        call = self._call(wish, node)
-        if link is None:
-            call.ending, call.ended_at = Ending.REFUSED, time.monotonic()
+        """Leaves some time before the answer."""
+        request = self._request(node)
+        connection = await self._connection(node)
+        call = self._call(request, node)
+        if connection is None:
+            end_call(call, Ending.REFUSED)
             return
-        done = link.ask(call, wish)
-        await link.send(wish.data())
+        done = connection.expect_answer(call, request)
+        await connection.send(request.encode())
         call.sent_at = time.monotonic()
-        await asyncio.wait([done], timeout=min(wish.timeout, self.rng.expovariate(20)))
+        await asyncio.wait([done], timeout=min(request.timeout, self.rng.expovariate(20)))
         if call.ending is Ending.NO_ANSWER:
-            call.ending, call.ended_at = Ending.LEFT, time.monotonic()
-            reset(link.transport) if self.rng.random() < 0.5 else link.transport.close()
+            end_call(call, Ending.LEFT)
+            self._close_or_reset(connection)
         else:
-            self._keep(node, link)
+            self._keep(node, connection)
 
     async def _pipelines(self, node: int) -> None:
-        wishes = [self._wish(node) for _ in range(self.rng.choice((2, 3, 5, 14)))]
-        for wish in wishes:  # more than the ingress's machine takes in waits on the client's, unseen by it
-            wish.body = wish.body[:LONGEST_PIPELINED]
-        link = await self._connect(node)
-        calls = [self._call(wish, node) for wish in wishes]
-        if link is None:
+        """Sends several requests at once."""
+        requests = [self._request(node) for _ in range(self.rng.choice((2, 3, 5, 14)))]
+        for request in requests:
+            request.body = request.body[:MAX_PIPELINED_BODY]
+        connection = await self._connect(node)
+        calls = [self._call(request, node) for request in requests]
+        if connection is None:
             for call in calls:
-                call.ending, call.ended_at = Ending.REFUSED, time.monotonic()
+                end_call(call, Ending.REFUSED)
             return
-        done = [link.ask(call, wish) for call, wish in zip(calls, wishes, strict=True)]
-        await link.send(b"".join(wish.data() for wish in wishes))
+        done = [
+            connection.expect_answer(call, request) for call, request in zip(calls, requests, strict=True)
+        ]
+        await connection.send(b"".join(request.encode() for request in requests))
         for call in calls:
             call.sent_at = time.monotonic()
-        longest = max(wish.timeout for wish in wishes) * len(wishes) + PATIENCE
-        await asyncio.wait(done, timeout=min(longest, 20.0))
-        link.open.clear()
-        link.transport.close()
+        longest = max(request.timeout for request in requests) * len(requests) + LATE_ANSWER_WAIT
+        await asyncio.wait(done, timeout=min(longest, MAX_PIPELINE_WAIT))
+        connection.pending.clear()
+        connection.transport.close()
 
-    async def _dawdles(self, node: int) -> None:
+    async def _sends_slowly(self, node: int) -> None:
         """Sends in pieces, over up to a second and a half."""
-        wish, link = self._wish(node), await self._link(node)
-        call = self._call(wish, node)
-        if link is None:
-            call.ending, call.ended_at = Ending.REFUSED, time.monotonic()
+        request = self._request(node)
+        connection = await self._connection(node)
+        call = self._call(request, node)
+        if connection is None:
+            end_call(call, Ending.REFUSED)
             return
-        data = wish.data()
-        done = link.ask(call, wish)
+        data = request.encode()
+        done = connection.expect_answer(call, request)
         cuts = sorted(self.rng.sample(range(1, len(data)), min(4, len(data) - 1)))
         for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
-            await link.send(data[start:end])
+            await connection.send(data[start:end])
             if end < len(data):
                 await asyncio.sleep(self.rng.uniform(0, 0.35))
         call.sent_at = time.monotonic()
-        await self._ended_within(call, done, link)
-        self._keep(node, link) if call.ending is Ending.ANSWERED else link.transport.close()
-
-    async def _bad(self, kind: str, node: int, link: Link | None, data: bytes) -> None:
-        if link is None:
-            return
-        peer = BadPeer(kind, node, time.monotonic(), OWED)
-        self.bad.append(peer)
-        await link.send(data)
-        heard = asyncio.get_running_loop().create_task(self._heard(link))
-        await asyncio.wait([heard], timeout=STAYS)
-        if heard.done():
-            peer.ended_at = time.monotonic()
-        heard.cancel()
-        link.transport.close()
-
-    async def _heard(self, link: Link) -> None:
-        while not link.heard and not link.over.done():
-            await asyncio.sleep(0.01)
+        await self._wait_for_end(call, done, connection)
+        self._keep_if_answered(node, connection, call)
 
     async def _stops_in_head(self, node: int) -> None:
-        data, link = self._wish(node).data(), await self._connect(node)
-        await self._bad("stops in head", node, link, data[: self.rng.randrange(1, 60)])
+        data = self._request(node).encode()
+        connection = await self._connect(node)
+        await self._bad_peer("stops in head", node, connection, data[: self.rng.randrange(1, 60)])
 
     async def _stops_in_body(self, node: int) -> None:
-        wish = self._wish(node)
-        wish.cls, wish.body, wish.chunked = KEYED, bytes(9_000), False
-        link = await self._connect(node)
-        await self._bad("stops in body", node, link, wish.data()[: -self.rng.randrange(1, 8_000)])
+        request = self._request(node)
+        request.request_class = WITH_KEY
+        request.body = bytes(9_000)
+        request.chunked = False
+        connection = await self._connect(node)
+        data = request.encode()[: -self.rng.randrange(1, 8_000)]
+        await self._bad_peer("stops in body", node, connection, data)
 
     async def _silent(self, node: int) -> None:
-        await self._bad("silent", node, await self._connect(node), b"")
+        await self._bad_peer("silent", node, await self._connect(node), b"")
 
     async def _nonsense(self, node: int) -> None:
         data = self.rng.choice(NONSENSE)
-        await self._bad("nonsense", node, await self._connect(node), data)
+        await self._bad_peer("nonsense", node, await self._connect(node), data)
+
+    async def _bad_peer(self, kind: str, node: int, connection: ClientConnection | None, data: bytes) -> None:
+        """Sends what is no request, and records whether an error or a close comes."""
+        if connection is None:
+            return
+        peer = BadPeer(kind, node, time.monotonic(), BAD_PEER_ANSWER)
+        self.bad_peers.append(peer)
+        await connection.send(data)
+        answered = asyncio.get_running_loop().create_task(_answered_or_closed(connection))
+        await asyncio.wait([answered], timeout=BAD_PEER_STAY)
+        if answered.done():
+            peer.ended_at = time.monotonic()
+        answered.cancel()
+        connection.transport.close()
 
     async def _crosses_idle_close(self, node: int) -> None:
-        """Asks about when a resting connection is closed."""
-        wish, link = self._wish(node), await self._connect(node)
-        call = await self._ask(wish, node, link)
-        if link is None or call.ending is not Ending.ANSWERED:
+        """Sends a request about when an idle connection is closed."""
+        request = self._request(node)
+        connection = await self._connect(node)
+        call = await self._send(request, node, connection)
+        if connection is None or call.ending is not Ending.ANSWERED:
             return
-        await asyncio.sleep(self.rng.uniform(1.9, 2.35))
-        if link.transport.is_closing():
+        await asyncio.sleep(self.rng.uniform(*IDLE_CLOSE_WINDOW))
+        if connection.transport.is_closing():
             return
-        wish = self._wish(node)
-        call = await self._ask(wish, node, link)
+        request = self._request(node)
+        call = await self._send(request, node, connection)
         if call.ending in (Ending.CLOSED, Ending.RESET):
-            link = await self._connect(node)
-            await self._ask(wish, node, link, again=True)
-        if link:
-            link.transport.close()
+            connection = await self._connect(node)
+            await self._send(request, node, connection, again=True)
+        if connection:
+            connection.transport.close()
+
+
+async def _answered_or_closed(connection: ClientConnection) -> None:
+    while not connection.answer_begun and not connection.closed.done():
+        await asyncio.sleep(0.01)
 
 
 class Host:
-    """The worker's host."""
+    """The worker's host: what the run asks of its clients."""
 
     async def start(self, seed: int, ports: list[int]) -> None:
+        """Makes the clients of the nodes that listen at `ports`."""
         self._clients = Clients(seed, ports)
 
-    async def run(self, rate: float, seconds: float) -> None:
-        await self._clients.run(rate, seconds)
-
     async def begin(self, rate: float, seconds: float) -> None:
-        """The same, without waiting for its end."""
+        """Starts `rate` clients a second for `seconds`, and does not wait for their end."""
         self._running = asyncio.get_running_loop().create_task(self._clients.run(rate, seconds))
 
     async def crowd(self, node: int, count: int, seconds: float) -> None:
-        self._clients._start(self._clients.crowd(node, count, seconds))
+        """Opens connections that say nothing."""
+        self._clients.start(self._clients.crowd(node, count, seconds))
 
     def leave(self, node: int) -> None:
+        """Lets the clients that wait at a node leave."""
         self._clients.leave(node)
 
-    async def told(self) -> dict[str, Any]:
-        """Once all has ended."""
+    async def result(self) -> dict[str, Any]:
+        """Returns what was recorded, once all clients have ended."""
         await self._running
         return {
             "calls": msgspec.to_builtins(self._clients.calls),
-            "bad_peers": msgspec.to_builtins(self._clients.bad),
+            "bad_peers": msgspec.to_builtins(self._clients.bad_peers),
             "lag": self._clients.lag,
         }
--- a/ingress_testbed/soak/judge.py
+++ b/ingress_testbed/soak/judge.py
@@ -9,7 +9,7 @@
 
 from ingress_testbed.soak.records import Arrival, Call, Ending, Life, Run, Written
 from ingress_testbed.soak.run import host_of
-from ingress_testbed.soak.setup import GRACE, KEYED, LONGEST, SAFE, UNSAFE
+from ingress_testbed.soak.setup import GRACE, IDEMPOTENT, LONGEST, NOT_IDEMPOTENT, WITH_KEY
 
 SLACK = 0.05  # s by which every limit is longer on sockets
 ANSWER_SLACK = 0.5  # s past its time in which a late answer only earns nothing
@@ -116,16 +116,16 @@
 def _effects(
     run: Run, id: str, asked: list[Call], got: list[Arrival], slack: float
 ) -> Iterator[tuple[str, str]]:
-    cls, ran = asked[0].cls, [a for a in got if not a.never_ran]
-    if len(ran) > 1 and cls == UNSAFE:
+    request_class, ran = asked[0].request_class, [a for a in got if not a.never_ran]
+    if len(ran) > 1 and request_class == NOT_IDEMPOTENT:
         yield "P4 unsafe requests once", f"{id}: {ran}"
-    if len(ran) > 1 and cls == KEYED and ran[-1].whole_at > ran[0].began_at + run.window + slack:
+    if len(ran) > 1 and request_class == WITH_KEY and ran[-1].whole_at > ran[0].began_at + run.window + slack:
         yield "P5 keyed repeats in their window", f"{id}, window {run.window}: {ran}"
-    if not run.may_duplicate or cls == UNSAFE:
+    if not run.may_hedge or request_class == NOT_IDEMPOTENT:
         for before, after in pairwise(ran):
             if not before.ended_at or after.whole_at < before.ended_at - slack:
                 yield "P4 no second copy", f"{id}: {before} {after}"
-    if cls == UNSAFE and ran and any(call.status in (429, 503) for call in asked):
+    if request_class == NOT_IDEMPOTENT and ran and any(call.status in (429, 503) for call in asked):
         yield "P6 refusals are harmless", f"{id}: {asked} {ran}"
 
 
@@ -216,7 +216,7 @@
         name = f"answered {call.status}" if call.ending is Ending.ANSWERED else call.ending.value
         endings[name] += 1
     repeats = len(run.arrivals) - len({arrival.id for arrival in run.arrivals})
-    safe = sum(call.cls == SAFE for call in run.calls)
+    safe = sum(call.request_class == IDEMPOTENT for call in run.calls)
     return dict(endings) | {
         "requests": float(len(run.calls)),
         "safe requests": float(safe),
--- a/ingress_testbed/soak/records.py
+++ b/ingress_testbed/soak/records.py
@@ -24,7 +24,7 @@
 
     id: str
     node: int
-    cls: str
+    request_class: str
     timeout: float  # s
     sent_at: float  # its last byte was handed to the system
     first_on_connection: bool
@@ -106,7 +106,7 @@
     seed: int
     began_at: float
     window: float  # s of a keyed class
-    may_duplicate: bool
+    may_hedge: bool
     troubles: list[Trouble]
     calls: list[Call]
     arrivals: list[Arrival]
--- a/ingress_testbed/soak/run.py
+++ b/ingress_testbed/soak/run.py
@@ -79,7 +79,7 @@
         for trouble in self.troubles:
             await asyncio.sleep(max(0.0, began_at + trouble.at - time.monotonic()))
             self._spawn(self._trouble(trouble))
-        asked = await self.clients.ask("told")
+        asked = await self.clients.ask("result")
         while self._tasks:
             await asyncio.wait(self._tasks)
         await asyncio.sleep(SETTLE)
@@ -93,7 +93,7 @@
             self._seed,
             began_at,
             self.setup.window,
-            self.setup.may_duplicate,
+            self.setup.may_hedge,
             self.troubles,
             msgspec.convert(asked["calls"], list[Call]),
             msgspec.convert(served["arrivals"], list[Arrival]),
--- a/ingress_testbed/soak/setup.py
+++ b/ingress_testbed/soak/setup.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-SAFE, UNSAFE, KEYED = "read", "order", "save"
-CLASSES = (SAFE, UNSAFE, KEYED)
+IDEMPOTENT, NOT_IDEMPOTENT, WITH_KEY = "read", "order", "save"
+CLASSES = (IDEMPOTENT, NOT_IDEMPOTENT, WITH_KEY)
 GRACE = 0.25  # s in which sends to a draining backend have to cease
 LONGEST = 3.0  # s: the longest deadline
 CUSTOMERS = 4000
@@ -18,7 +18,7 @@
 class Setup:
     nodes: int
     window: float  # s of a keyed class
-    may_duplicate: bool
+    may_hedge: bool
     may_cancel: bool
     connect_timeout: float  # s
     idle: float  # s after which a backend closes an idle connection
@@ -29,7 +29,7 @@
         return cls(
             nodes,
             window=rng.choice([0.6, 1.5, 5.0]),
-            may_duplicate=rng.random() < 0.5,
+            may_hedge=rng.random() < 0.5,
             may_cancel=rng.random() < 0.7,
             connect_timeout=rng.choice([0.25, 0.6]),
             idle=rng.choice([1.0, 3.0, 10.0]),
@@ -38,7 +38,7 @@
 
     def settings(self, me: int) -> dict[str, Any]:
         """As the simulator's first message has them; times in microseconds."""
-        semantics = {SAFE: "retryable", UNSAFE: "fragile", KEYED: "dedup"}
+        semantics = {IDEMPOTENT: "retryable", NOT_IDEMPOTENT: "fragile", WITH_KEY: "dedup"}
         services = [
             {
                 "name": name,
@@ -61,7 +61,7 @@
             "ceilings": {
                 "max_attempts": 3,
                 "cancel": self.may_cancel,
-                "may_duplicate": self.may_duplicate,
+                "may_duplicate": self.may_hedge,
                 "connect_timeout": round(self.connect_timeout * 1e6),
                 "retry_after": True,
                 "conn_idle": round(self.idle * 1e6),
@@ -80,11 +80,11 @@
         }
 
 
-def expected(request_id: str, body: bytes, size: int) -> bytes:
+def expected_answer(request_id: str, body: bytes, size: int) -> bytes:
     """The answer that backends make for a request: told by its id and body, `size` bytes at the least."""
     told = f"{request_id}:{hashlib.sha1(body).hexdigest()}:".encode()
     return told + b"." * max(0, size - len(told))
 
 
-def key_of(request_id: str) -> str:
+def idempotency_key(request_id: str) -> str:
     return f"key-{request_id}"
--- a/tests/test_fleetlab_soak.py
+++ b/tests/test_fleetlab_soak.py
@@ -70,10 +70,19 @@
         (run([call(sound=False)], [arrival()]), "P3"),
         (run([call()], [arrival(sound=False)]), "P3"),
         (run([call()], [arrival(), arrival(id="b")]), "P3"),
-        (run([call(cls="order")], [arrival(), arrival(began_at=110.06, whole_at=110.06, told=0.9)]), "P4"),
+        (
+            run(
+                [call(request_class="order")],
+                [arrival(), arrival(began_at=110.06, whole_at=110.06, told=0.9)],
+            ),
+            "P4",
+        ),
         (run([call()], [arrival(ended_at=110.5), arrival(whole_at=110.2)]), "P4"),
-        (run([call(cls="save")], [arrival(), arrival(began_at=110.8, whole_at=110.8, told=0.1)]), "P5"),
-        (run([call(cls="order", status=429)], [arrival()]), "P6"),
+        (
+            run([call(request_class="save")], [arrival(), arrival(began_at=110.8, whole_at=110.8, told=0.1)]),
+            "P5",
+        ),
+        (run([call(request_class="order", status=429)], [arrival()]), "P6"),
         (run([call(ending=Ending.LEFT, ended_at=109.7)], [arrival()]), "P8"),
         (run([call()], [arrival(told=1.3)]), "P9"),
         (run([call()], [arrival()], life(exit_code=1)), "P15"),
