--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -12,7 +12,7 @@
 from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.packed_entry import is_removed, pack_entry, unpack_entry
+from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
 from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
 Tell = Callable[[EndpointList, ListKind | None], None]
