--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,9 +5,10 @@
 from dataclasses import replace
 from typing import Any
 
-from quota_ingress.policy.actions import Action, AddToCounter
+from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
-from quota_ingress.policy.events import CounterAnswered, Event, Outcome, RequestArrived
+from quota_ingress.policy.events import AttemptEnded, CounterAnswered, Event, Outcome, RequestArrived
+from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import (
     CounterLimits,
     DeduplicationScope,
@@ -83,6 +84,21 @@
     return replace(base, **changes)
 
 
+def gateway_with_endpoints(endpoint_count: int = 4, **changes: Any) -> Gateway:
+    """A gateway that knows of endpoints 1 to `endpoint_count`."""
+    made = Gateway(settings(**changes), seed=1)
+    made.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    return made
+
+
+def answer_attempts(gateway: Gateway, now: int, actions: list[Action]) -> int:
+    """Answers every attempt that was sent at once; returns how many there were."""
+    sent = of(actions, SendAttempt)
+    for attempt in sent:
+        gateway.handle(now, AttemptEnded(attempt.request, 0, attempt.endpoint, Outcome.OK, 50_000, True))
+    return len(sent)
+
+
 def of(actions: list[Action], kind: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
--- a/tests/test_quota.py
+++ b/tests/test_fleet_quotas.py
@@ -119,35 +119,3 @@
     served = [sum(store.inside for store in stores) / offered for stores in (ours, late)]
     assert cost[0] <= cost[1] + 0.1
     assert served[0] > 0.8 * served[1]  # and not by sending nothing
-
-
-@pytest.mark.parametrize(
-    ("took", "outcome", "least", "most"),
-    [
-        (SECOND // 200, Outcome.OK, 140, 220),  # prompt: room to ask for nearly all
-        (SECOND // 50, Outcome.OK, 70, 125),  # a line there: 10 a second, as a fleet of this size may
-        (SECOND // 200, Outcome.REJECTED, 0, 30),  # turned away: ever less
-    ],
-)
-def test_a_gateway_of_a_large_fleet_asks_as_often_as_the_counter_answers_promptly(
-    took: int, outcome: Outcome, least: int, most: int
-) -> None:
-    plan = Plan("mid", 2.0, burst=8.0)
-    gateway = Gateway(settings(fleet_size=200, plans=(plan,)), 1)
-    gateway.handle(0, listed(*(backend(n) for n in range(1, 25))))
-    order, asked = itertools.count(), 0
-    events: list[tuple[int, int, Event]] = []
-    for number in range(400):  # 20 a second, each of another customer
-        wish = RequestArrived(number, 0, 0, number, 1.0, 3 * SECOND, 0, 150)
-        heapq.heappush(events, (SECOND + number * SECOND // 20, next(order), wish))
-    while events:
-        now, _, event = heapq.heappop(events)
-        for action in gateway.handle(now, event):
-            match action:
-                case AddToCounter(name, amount) if now < 21 * SECOND:
-                    asked += now >= 11 * SECOND
-                    told = CounterAnswered(name, outcome, amount, took)
-                    heapq.heappush(events, (now + took, next(order), told))
-                case SetTimer(token, at):
-                    heapq.heappush(events, (max(now, at), next(order), TimerFired(token)))
-    assert least <= asked <= most  # in ten seconds
--- /dev/null
+++ b/tests/test_leased_quota.py
@@ -0,0 +1,124 @@
+"""Customers of few gateways: leases by windows, corrections, and the counter's failures."""
+
+from __future__ import annotations
+
+import pytest
+
+from quota_ingress.policy.actions import AddToCounter, Reject, SendAttempt
+from quota_ingress.policy.events import (
+    CounterAnswered,
+    Outcome,
+)
+from quota_ingress.policy.lease import counter_name
+from quota_ingress.policy.leased_quota import LeasedQuota
+from tests.helpers import (
+    PLANS,
+    SECOND,
+    Counter,
+    arrival,
+    gateway_with_endpoints,
+    of,
+    settle,
+)
+
+
+def test_first_request_leases_several_units_and_is_sent() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    asked = gateway.handle(0, arrival(1))
+    (add,) = of(asked, AddToCounter)
+    assert not of(asked, SendAttempt) and add.amount > 1
+    assert add.name == counter_name(7, 0)
+    assert len(of(gateway.handle(1000, counter.answers(asked)[0]), SendAttempt)) == 1
+
+
+def test_leased_units_admit_without_another_call() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    settle(gateway, 0, arrival(1, units=0.5), counter)
+    again = gateway.handle(1000, arrival(2, units=0.5))
+    assert of(again, SendAttempt) and not of(again, AddToCounter)
+
+
+def test_units_leased_past_the_allowance_are_added_back() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    counter.totals[counter_name(7, 0)] = 3.5  # a sibling took most of the burst of 4
+    actions = settle(gateway, 0, arrival(1), counter)
+    corrections = [a.amount for a in of(actions, AddToCounter) if a.amount < 0]
+    assert len(corrections) == 1 and of(actions, Reject) and not of(actions, SendAttempt)
+    assert counter.totals[counter_name(7, 0)] == pytest.approx(4.0)
+
+
+def test_two_gateways_share_one_burst() -> None:
+    one, two, counter = gateway_with_endpoints(), gateway_with_endpoints(), Counter()
+    sent = 0
+    for n in range(20):
+        sent += len(of(settle((one, two)[n % 2], 0, arrival(n), counter), SendAttempt))
+    assert 3 <= sent <= 4  # burst 4; a fraction may be stranded in a lease
+
+
+def test_rejects_without_a_call_once_the_bucket_is_known_to_be_empty() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    for n in range(8):
+        settle(gateway, 0, arrival(n), counter)
+    late = gateway.handle(0, arrival(9))
+    assert of(late, Reject) and not of(late, AddToCounter)
+
+
+def test_unanswered_calls_leave_the_quota_over_the_gateway_count() -> None:
+    gateway = gateway_with_endpoints()
+    sent = 0
+    for n in range(40):
+        actions = gateway.handle(0, arrival(n))
+        for add in of(actions, AddToCounter):
+            actions += gateway.handle(0, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 30_000))
+        sent += len(of(actions, SendAttempt))
+    assert sent == 2  # burst 4 over two gateways
+
+
+def test_flushed_counter_admits_no_second_burst() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    sent = sum(len(of(settle(gateway, 0, arrival(n), counter), SendAttempt)) for n in range(8))
+    counter.totals.clear()
+    sent += sum(len(of(settle(gateway, 500_000, arrival(n), counter), SendAttempt)) for n in range(8, 16))
+    assert sent <= 5  # burst 4 and half a second at 2 a second
+    assert sum(counter.totals.values()) > 2  # what it forgot was put corrections
+
+
+@pytest.mark.parametrize("total", [float("nan"), float("inf"), -50.0, -1e30])
+def test_impossible_totals_admit_no_more_than_a_burst(total: float) -> None:
+    gateway = gateway_with_endpoints()
+    sent = 0
+    for n in range(30):
+        for add in of(gateway.handle(0, arrival(n)), AddToCounter):
+            sent += len(of(gateway.handle(0, CounterAnswered(add.name, Outcome.OK, total, 9)), SendAttempt))
+    assert sent <= 4
+
+
+def test_leased_units_and_a_full_bucket_are_one_burst() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    settle(gateway, 0, arrival(1), counter)
+    quota = gateway.admission.customers[7]
+    assert quota.bucket.leased_units > 0
+    assert quota.bucket.remaining(30 * SECOND) + quota.bucket.leased_units == pytest.approx(PLANS[0].burst)
+
+
+def test_leased_units_are_not_spent_again_while_the_counter_is_silent() -> None:
+    gateway, counter = gateway_with_endpoints(), Counter()
+    settle(gateway, 0, arrival(1, units=2.0), counter)  # its part of the burst of 4 over two gateways
+    gateway.admission.customers[7].bucket.leased_units = 0.0
+    actions = gateway.handle(1, arrival(2))
+    for add in of(actions, AddToCounter):
+        actions += gateway.handle(1, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 90_000))
+    assert of(actions, Reject) and not of(actions, SendAttempt)
+
+
+def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
+    gateway = gateway_with_endpoints()
+    for second, outcome in enumerate((Outcome.TIMEOUT, Outcome.REJECTED)):  # the second tells it to nobody
+        (add,) = of(gateway.handle(second * SECOND, arrival(second)), AddToCounter)
+        spent = gateway.handle(second * SECOND, CounterAnswered(add.name, outcome, 0.0, 90_000))
+        assert of(spent, SendAttempt)
+    quota = gateway.admission.customers[7]
+    assert isinstance(quota, LeasedQuota)
+    assert quota.unreported_units == 2.0
+    (add,) = of(gateway.handle(3 * SECOND, arrival(9)), AddToCounter)
+    assert quota.unreported_units == 0.0 and add.amount >= 3.0
