--- a/quota_ingress/net/discovery/endpoint_codec.py
+++ b/quota_ingress/net/discovery/endpoint_codec.py
@@ -55,9 +55,15 @@
     """Decodes one entry of a list.
 
     Raises:
-        EndpointListError: A value is none that the protocol allows.
-        KeyError, ValueError, TypeError, AttributeError, OverflowError: A field is missing or of another type.
+        EndpointListError: A field is missing, or its value is not what the protocol allows.
     """
+    try:
+        return _decode_fields(fields)
+    except DECODE_ERRORS as error:
+        raise as_list_error(error) from None
+
+
+def _decode_fields(fields: dict[str, Any]) -> EndpointEntry:
     name = str(fields[_NAME_KEY])
     status = str(fields[_STATUS_KEY])
     state = STATE_BY_STATUS.get(status)
--- a/quota_ingress/net/discovery/incremental_reader.py
+++ b/quota_ingress/net/discovery/incremental_reader.py
@@ -184,7 +184,7 @@
         """Reads one of the characters `expected`; without any, nothing but spaces may come."""
         found = yield from self._peek()
         if found not in expected:
-            wanted = " or ".join(expected) or "its end"
-            raise EndpointListError(f"endpoint list: {found!r} instead of {wanted}")
+            alternatives = " or ".join(expected) or "its end"
+            raise EndpointListError(f"endpoint list: {found!r} instead of {alternatives}")
         self._position += 1
         return found
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -37,6 +37,28 @@
     server.stop()
 
 
+@pytest_asyncio.fixture
+async def server() -> AsyncIterator[PeerServer]:
+    """A counter or a discovery that says nothing until a test has it answer."""
+    server = await PeerServer().start()
+    yield server
+    server.stop()
+
+
+@pytest.fixture
+def waits(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """The waits between calls to discovery, none of which takes any time here."""
+    found: list[float] = []
+    sleep = asyncio.sleep
+
+    async def record(wait: float) -> None:
+        found.append(wait)
+        await sleep(0)
+
+    monkeypatch.setattr(asyncio, "sleep", record)
+    return found
+
+
 @pytest_asyncio.fixture
 async def ingress(backend: PeerServer) -> AsyncIterator[Ingress]:
     """With a module that sends every request to `backend`."""
--- a/tests/test_net_counter.py
+++ b/tests/test_counter_client.py
@@ -3,26 +3,14 @@
 from __future__ import annotations
 
 import asyncio
-import json
-from collections.abc import AsyncIterator
 
 import pytest
-import pytest_asyncio
 
-from quota_ingress.net.backoff import Backoff
 from quota_ingress.net.counter import client as counter_module
 from quota_ingress.net.counter import connection as connection_module
 from quota_ingress.net.counter.client import CounterClient
-from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.discovery import watch as discovery_module
-from quota_ingress.net.discovery import watch_connection, watch_retry
-from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.watch import DiscoveryWatch
-from quota_ingress.net.discovery.watch_connection import WatchConnection
-from quota_ingress.net.engine.ports import AttemptResult
-from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.events import Outcome
-from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, entry
+from tests.net_helpers import HOST, PeerServer
 
 LONG, SHORT = 10_000_000, 20_000
 
@@ -60,13 +48,6 @@
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 1)  # but where a test says otherwise
 
 
-@pytest_asyncio.fixture
-async def server() -> AsyncIterator[PeerServer]:
-    server = await PeerServer().start()
-    yield server
-    server.stop()
-
-
 async def lines(server: PeerServer, count: int) -> list[bytes]:
     def told() -> list[bytes]:
         return [x for p in server.peers for x in p.data.split(b"\r\n") if x.startswith(b"add")]
@@ -230,167 +211,9 @@
 # The watch.
 
 
-def line(index: int, whole: bool, *names: str) -> bytes:
-    endpoints = [{"name": n, "address": f"{HOST}:1", "status": "up"} for n in names]
-    return json.dumps({"index": index, "snapshot": whole, "endpoints": endpoints}).encode() + b"\n"
-
-
-def chunk(data: bytes) -> bytes:
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-
-class Watched:
-    def __init__(self, server: PeerServer) -> None:
-        self.told: list[EndpointList] = []
-        self.changed = asyncio.Event()
-        self.discovery = DiscoveryWatch((HOST, server.port), 41, self._changed)
-        self.discovery.start()
-
-    def _changed(self, listing: EndpointList) -> None:
-        self.told.append(listing)
-        self.changed.set()
-
-    async def heard(self, count: int) -> list[EndpointList]:
-        async with asyncio.timeout(10):
-            while len(self.told) < count:
-                self.changed.clear()
-                await self.changed.wait()
-        return self.told
-
-
-async def test_the_watch_starts_from_the_version_held_and_goes_on_from_the_last(server: PeerServer) -> None:
-    watched = Watched(server)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
-    assert server.peers[0].data.startswith(b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1\r\n")
-    both = line(42, False, "a") + b"\n" + line(43, True, "a", "b")
-    server.peers[0].transport.write(HEAD + chunk(both[:30]) + chunk(both[30:]))
-    told = await watched.heard(2)
-    assert [(x.version, x.is_snapshot, [e.name for e in x.entries]) for x in told] == [
-        (42, False, ["a"]),
-        (43, True, ["a", "b"]),
-    ]
-    server.peers[0].transport.close()
-    await server.until(lambda: len(server.peers) == 2 and b"\r\n\r\n" in server.peers[1].data)
-    assert b"from=43 " in server.peers[1].data
-    watched.discovery.stop()
-
-
-async def test_a_silent_watch_is_opened_anew(server: PeerServer, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT", 0.05)
-    watched = Watched(server)
-    await server.until(lambda: len(server.peers) == 2)
-    watched.discovery.stop()
-
-
-@pytest.mark.parametrize(
-    "bad", [b"no json\n", b'{"index":1}\n', b"[]\n", b'{"index":1,"snapshot":0,"endpoints":[1]}\n']
-)
-async def test_garbage_ends_the_watch_and_a_new_one_is_opened(server: PeerServer, bad: bytes) -> None:
-    watched = Watched(server)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
-    server.peers[0].transport.write(HEAD + chunk(bad))
-    await server.until(lambda: len(server.peers) == 2)
-    assert watched.told == []
-    watched.discovery.stop()
-
-
-async def test_a_watch_is_taken_for_dead_soon_after_one_missing_beat() -> None:
-    class Time:  # stands in for the loop
-        now, at = 0.0, 0.0
-
-        def time(self) -> float:
-            return self.now
-
-        def call_later(self, delay: float, run: object) -> asyncio.Handle:
-            self.at = self.now + delay
-            return asyncio.Handle(lambda: None, (), asyncio.get_running_loop())
-
-    class Wire(asyncio.Transport):
-        def write(self, data: object) -> None: ...
-
-        def abort(self) -> None:
-            aborted.append(time.now)
-
-    aborted: list[float] = []
-    time, watch = Time(), WatchConnection(DiscoveryWatch((HOST, 1), 0, lambda listing: None), False)
-    watch._loop = time  # type: ignore[assignment]
-    watch.connection_made(Wire())
-    watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    for beat in (2.0, 4.0):
-        time.now = beat
-        watch.data_received(chunk(b"\n"))
-    while not aborted:
-        time.now = time.at
-        watch._check_silence()
-    assert 6 < aborted[0] <= 7.5  # after the beat due at 6 s, before a reload's 4 s are up
-
-
 # A fleet that comes back together.
 
 
-def test_waits_double_up_to_a_bound_spread_by_chance_and_begin_anew() -> None:
-    chance = [0.0]
-    tries = Backoff(0.1, 0.5, lambda: chance[0])
-    assert [round(tries.next_wait(), 3) for _ in range(4)] == [0.05, 0.1, 0.2, 0.25]
-    chance[0] = 1.0
-    assert round(tries.next_wait(), 3) == 0.75
-    tries.on_success()
-    assert round(tries.next_wait(), 3) == 0.15
-
-
-@pytest.mark.parametrize("size", [3, 40])
-async def test_a_discovery_that_turns_callers_away_is_asked_ever_less_often(
-    size: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Up to a bound: a change counts as told after 6 s, whatever a refused call allows. How a large fleet
-    that is held in line before shares such a discovery out is in test_retry."""
-
-    def turn_away(peer: Peer) -> None:
-        peer.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-
-    agent = await PeerServer(turn_away).start()
-    waits: list[float] = []
-    enough = asyncio.Event()
-    sleep = asyncio.sleep
-
-    async def slept(wait: float) -> None:
-        waits.append(wait)
-        if len(waits) == 6:
-            enough.set()
-        await sleep(0)
-
-    monkeypatch.setattr(discovery_module.asyncio, "sleep", slept)
-    watching = DiscoveryWatch((HOST, agent.port), 4, lambda listing: None, size)
-    watching.start()
-    async with asyncio.timeout(10):
-        await enough.wait()
-    watching.stop()
-    first, longest = watch_retry.FAILED_CALL_BACKOFF
-    for tried, wait in enumerate(waits[:6]):
-        usual = min(longest, first * 2**tried)
-        assert 0.5 * usual <= wait <= 1.5 * usual
-    assert waits[5] > 1.2 * waits[0] and len({w / waits[0] for w in waits}) == len(waits)
-    agent.stop()
-
-
 async def test_a_large_fleet_holds_fewer_lines_to_the_counter_each(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 3)
     assert [CounterClient((HOST, 1), LONG, size)._connection_count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
-
-
-@pytest.mark.parametrize(("size", "kept"), [(4, 3), (48, 1)])
-async def test_a_large_fleet_keeps_fewer_idle_connections_to_a_backend(size: int, kept: int) -> None:
-    backend = await PeerServer(answers(OK)).start()
-    backends = UpstreamClient(DescriptorBudget(1024).backends, 10_000_000, 250_000, fleet_size=size)
-    backends.register_endpoint(entry("s-1", backend.port), 1)
-    asked: list[asyncio.Future[AttemptResult]] = []
-    for _ in range(3):
-        asked.append(asyncio.get_running_loop().create_future())
-        backends.send(1, b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n", asked[-1].set_result)
-    assert [(await each).outcome for each in asked] == [Outcome.OK] * 3
-    assert len(backends._pools[1].idle) == kept
-    backends.stop()
-    backend.stop()
--- a/tests/test_net_listing.py
+++ b/tests/test_long_endpoint_lists.py
@@ -1,10 +1,9 @@
-"""Long lists: read as they come, kept in little, and told to the module in part."""
+"""Long endpoint lists, from discovery to the policy: little memory, and no more work than what changes."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import logging
 import signal
 import time
 from collections.abc import Callable
@@ -17,15 +16,13 @@
 from hypothesis import strategies as st
 
 from quota_ingress.__main__ import read_config
-from quota_ingress.net.discovery import incremental_reader, list_parser
 from quota_ingress.net.discovery import operator_overrides as maintenance_module
-from quota_ingress.net.discovery.directory import EndpointDirectory
 from quota_ingress.net.discovery.endpoint import EndpointEntry
-from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint, decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE
 from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.list_parser import EndpointListParser, LineResult
+from quota_ingress.net.discovery.list_parser import EndpointListParser
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.packed_entry import pack_entry, unpack_entry
+from quota_ingress.net.discovery.packed_entry import unpack_entry
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy import subsetting
@@ -34,153 +31,17 @@
 from quota_ingress.settings_codec import settings_from_json
 from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script
 from tests.process_helpers import ask, config, listens, start
+from tests.support.discovery import (
+    endpoint_fields,
+    endpoint_list,
+)
 from tests.support.fake_network import FakeNetwork, sender
 
 FLEET, MANY = 7100, 90_000
 LONG_FLEET = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
-TEXT = st.text(max_size=8)
-
-
-def told(*endpoints: dict[str, Any], index: int = 1, whole: bool = True) -> EndpointList:
-    return decode_endpoint_list({"index": index, "snapshot": whole, "endpoints": list(endpoints)})
-
-
-def box(number: int, status: str = "up", since_ms: int = 0) -> dict[str, Any]:
-    address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7070"
-    return {
-        "name": f"s-{number:08x}",
-        "address": address,
-        "status": status,
-        "zone": "hall",
-        "type": "big",
-        "group": number % 50,
-        "weight": 1.0,
-        "since_ms": since_ms,
-    }
-
-
-# Reading.
-
-
-def read(data: bytes, cut: int) -> EndpointList:
-    """A list whose text comes in parts of `cut` bytes, and is long from its first byte on."""
-    document = EndpointListParser()
-    *lines, rest = data.split(b"\n")
-    for line in [*lines, rest]:
-        parts = [line[at : at + cut] for at in range(0, len(line), cut)]
-        for part in parts:
-            document.feed(part)
-        if isinstance(found := document.end_line(b""), EndpointList):
-            return found
-        assert found is LineResult.INCOMPLETE
-    raise AssertionError("no end")
-
-
-@examples(max_examples=40, deadline=None)
-@given(
-    st.lists(
-        st.builds(
-            lambda n, t, w: {"name": n, "status": "up", "address": f"{t}:7", "weight": w, "t": t},
-            TEXT,
-            TEXT,
-            st.floats(0, 9),
-        ),
-        max_size=6,
-    ),
-    st.sampled_from([None, 1]),
-    st.booleans(),
-    st.integers(1, 40),
-    st.booleans(),
-    st.integers(0, 99),
-)
-def test_a_long_list_is_read_as_a_short_one_however_it_is_cut(
-    endpoints: list[dict[str, Any]], indent: int | None, ascii: bool, cut: int, first: bool, long: int
-) -> None:
-    fields = {"index": 12, "snapshot": True, "more": {"endpoints": [1, "}"]}}
-    raw = {"endpoints": endpoints} | fields if first else fields | {"endpoints": endpoints}
-    data = json.dumps(raw, indent=indent, ensure_ascii=ascii).encode()
-    with pytest.MonkeyPatch.context() as always:
-        always.setattr(list_parser, "INCREMENTAL_THRESHOLD_BYTES", long)
-        found = read(data, cut)
-    assert (found.version, found.is_snapshot, found.packed) == (
-        12,
-        True,
-        decode_endpoint_list(json.loads(data)).packed,
-    )
 
 
-@pytest.mark.parametrize(
-    ("at", "bad"),
-    [(0.5, b"}"), (0.5, b"["), (0.5, b"\xff"), (0.5, b",[],"), (0.9, b'"'), (0.5, b"\n\n"), (1, b",")],
-)
-def test_a_long_list_with_something_wrong_in_it_is_no_list(at: float, bad: bytes) -> None:
-    data = json.dumps({"index": 1, "snapshot": True, "endpoints": [box(n) for n in range(4000)]}).encode()
-    cut = int(at * len(data))
-    with pytest.raises(ValueError):
-        read(data[:cut] + bad + data[cut:], 65536)
-
-
-def test_of_a_long_list_little_is_held_unread(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(incremental_reader, "MAX_UNREAD_BYTES", 1_000_000)
-    document, index = EndpointListParser(), 0
-    document.feed(b'{"index":1,"snapshot":true,"endpoints":[')
-    while index < 20_000:  # 3 MB in all
-        document.feed(b",".join(json.dumps(box(n)).encode() for n in range(index, index + 100)) + b",")
-        index += 100
-    document.feed(json.dumps(box(index)).encode() + b"]")
-    found = document.end_line(b"}")
-    assert isinstance(found, EndpointList) and len(found.packed) == 20_001
-    with pytest.raises(ValueError):  # one value without end
-        document.feed(b'{"index":"' + b"x" * 300_000)
-        for _ in range(20):
-            document.feed(b"x" * 100_000)
-
-
-def test_a_name_told_twice_and_a_removal_of_what_never_was_are_logged_and_nothing_is_lost(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
-    directory = EndpointDirectory()
-    with caplog.at_level(logging.INFO):
-        directory.apply(told(box(1), box(2), box(1, "draining"), box(3, "removed")))
-        directory.apply(told(box(9, "removed"), box(4), whole=False))
-    assert {n: STATUS_BY_STATE[e.state] for n, e in directory.items()} == {
-        box(1)["name"]: "draining",
-        box(2)["name"]: "up",
-        box(4)["name"]: "up",
-    }
-    assert directory.ready_count == 2 and len(caplog.records) == 2
-    assert "same name" in caplog.text and box(9)["name"] in caplog.text
-
-
-@given(
-    st.builds(
-        lambda n, s, h, z, k, g, w, t: {
-            "name": n,
-            "status": s,
-            "address": f"{h}:80",
-            "zone": z,
-            "type": k,
-            "group": g,
-            "weight": w,
-            "since_ms": t,
-        },
-        TEXT,
-        st.sampled_from(["up", "draining", "removed"]),
-        TEXT,
-        TEXT,
-        TEXT,
-        st.integers(),
-        st.floats(allow_nan=False, allow_infinity=False),
-        st.integers(-10, 2**48),
-    ),
-)
-def test_an_entry_is_packed_without_loss(raw: dict[str, Any]) -> None:
-    entry = decode_endpoint(raw)
-    again = unpack_entry(entry.name, pack_entry(entry))
-    assert again == entry
-
-
-# What the engine tells of a long list.
+# What the engine tells the policy of a long list.
 
 
 class LongWorld(FakeNetwork):
@@ -205,15 +66,15 @@
 
 def test_the_module_is_told_of_the_part_held_and_how_many_are_ready_in_all() -> None:
     world = LongWorld()
-    world.engine.update_endpoints(told(*(box(n) for n in range(20_000))))
+    world.engine.update_endpoints(endpoint_list(*(endpoint_fields(n) for n in range(20_000))))
     held = world.held()
     assert (
         300 < len(held) < 1500 and len(world.last.endpoints) == len(held) and world.last.ready_total == 20_000
     )
     assert set(world.known.values()) == held  # no other has a pool
     for number in range(500):
-        entry = box(number, "draining")
-        world.engine.update_endpoints(told(entry, index=2 + number, whole=False))
+        entry = endpoint_fields(number, "draining")
+        world.engine.update_endpoints(endpoint_list(entry, version=2 + number, is_snapshot=False))
         drained = [EndpointState.DRAINING] * (entry["name"] in held)
         assert [
             b.state for b in world.last.endpoints
@@ -223,19 +84,23 @@
 
 def test_dealing_anew_tells_the_module_just_the_difference() -> None:
     world, gateway = LongWorld(), Gateway(LONG_FLEET, 1)
-    world.engine.update_endpoints(told(*(box(n) for n in range(1000))))
+    world.engine.update_endpoints(endpoint_list(*(endpoint_fields(n) for n in range(1000))))
     assert len(world.held()) == 1000 and world.last.ready_total == 0  # all of them
-    world.engine.update_endpoints(told(*(box(n) for n in range(1000, 1050)), index=2, whole=False))
+    world.engine.update_endpoints(
+        endpoint_list(*(endpoint_fields(n) for n in range(1000, 1050)), version=2, is_snapshot=False)
+    )
     left = {n for n, name in world.known.items() if name not in world.held()}
     gone = {b.id for b in world.last.endpoints if b.state is EndpointState.REMOVED}
     assert gone == left == set(world.removed_endpoints) and 400 < len(world.held()) < 650
     new = {b.id for b in world.last.endpoints} - gone
     assert new <= set(world.known) and len(new) < 50 and world.last.ready_total == 1050
     world.engine.update_endpoints(
-        told(*(box(n, "removed") for n in range(300)), index=3, whole=False)
+        endpoint_list(*(endpoint_fields(n, "removed") for n in range(300)), version=3, is_snapshot=False)
     )  # 750 are left
-    world.engine.update_endpoints(told(box(400, "draining"), index=4, whole=False))
-    assert world.held() == {box(n)["name"] for n in range(300, 1050)}
+    world.engine.update_endpoints(
+        endpoint_list(endpoint_fields(400, "draining"), version=4, is_snapshot=False)
+    )
+    assert world.held() == {endpoint_fields(n)["name"] for n in range(300, 1050)}
     for event in world.script.of(EndpointsListed):
         gateway.handle(0, event)
     assert gateway.fleet.backends.keys() == set(world.engine.endpoints.numbers.values())
@@ -266,8 +131,8 @@
             few.setattr(subsetting, name, value)
         world, gateway, now = LongWorld(), Gateway(LONG_FLEET, 1), dict[str, dict[str, Any]]()
         for whole, changes in events:
-            entries = [box(*change) for change in changes]
-            world.engine.update_endpoints(told(*entries, whole=whole))
+            entries = [endpoint_fields(*change) for change in changes]
+            world.engine.update_endpoints(endpoint_list(*entries, is_snapshot=whole))
             gateway.handle(0, world.last)
             now = ({} if whole else now) | {e["name"]: e for e in entries}
             now = {n: e for n, e in now.items() if e["status"] != "removed"}
@@ -289,10 +154,10 @@
     """s of CPU for one change, from the line to the module, the least of some."""
     world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
     maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
-    maintenance.apply_list(told(*(box(n) for n in range(count))))
+    maintenance.apply_list(endpoint_list(*(endpoint_fields(n) for n in range(count))))
     held = next(int(name[2:], 16) for name in world.engine.endpoints.numbers)
     for n in range(40):
-        raw = {"index": 2 + n, "snapshot": False, "endpoints": [box(held, since_ms=n)]}
+        raw = {"index": 2 + n, "snapshot": False, "endpoints": [endpoint_fields(held, since_ms=n)]}
         document, line = EndpointListParser(), json.dumps(raw).encode()
         begun = time.process_time()
         found = document.end_line(line)
@@ -312,7 +177,7 @@
 def test_operators_take_out_any_backend_that_is_listed_held_or_not() -> None:
     world = LongWorld()
     maintenance = OperatorOverrides(lambda: 7_000_000, world.engine.update_endpoints, world.engine.directory)
-    maintenance.apply_list(told(*(box(n) for n in range(2000))))
+    maintenance.apply_list(endpoint_list(*(endpoint_fields(n) for n in range(2000))))
     held = world.held()
     for name in (next(iter(held)), next(n for n in world.engine.directory if n not in held)):
         assert maintenance.take_offline(name)
@@ -329,20 +194,24 @@
 def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(maintenance_module, "MAX_REMOVED_NAMES", 100)
     maintenance = OperatorOverrides(lambda: 0, lambda listing, kind: None)
-    maintenance.apply_list(told(box(0)))
-    maintenance.take_offline(box(0)["name"])
+    maintenance.apply_list(endpoint_list(endpoint_fields(0)))
+    maintenance.take_offline(endpoint_fields(0)["name"])
     for n in range(300):
-        maintenance.apply_list(told(box(n, "removed"), box(n + 1), whole=False))
-    assert len(maintenance._removed_names) == 100 and list(maintenance.entries) == [box(300)["name"]]
-    assert [maintenance.put_online(box(n)["name"]) for n in (0, 1, 299, 300, 301)] == [
+        maintenance.apply_list(
+            endpoint_list(endpoint_fields(n, "removed"), endpoint_fields(n + 1), is_snapshot=False)
+        )
+    assert len(maintenance._removed_names) == 100 and list(maintenance.entries) == [
+        endpoint_fields(300)["name"]
+    ]
+    assert [maintenance.put_online(endpoint_fields(n)["name"]) for n in (0, 1, 299, 300, 301)] == [
         True,
         False,
         True,
         True,
         False,
     ]
-    maintenance.apply_list(told(box(0), whole=False))
-    assert maintenance.entries[box(0)["name"]].state is EndpointState.READY
+    maintenance.apply_list(endpoint_list(endpoint_fields(0), is_snapshot=False))
+    assert maintenance.entries[endpoint_fields(0)["name"]].state is EndpointState.READY
 
 
 # A whole process.
@@ -371,7 +240,7 @@
     tmp_path: Path,
 ) -> None:
     """Read whole, the list in its configuration took it to 99 MB, and to 130 at each SIGHUP."""
-    boxes = [box(n, since_ms=1_700_000_000_000 + n) for n in range(MANY)]
+    boxes = [endpoint_fields(n, since_ms=1_700_000_000_000 + n) for n in range(MANY)]
     known, path = {"index": 1, "snapshot": True, "endpoints": boxes}, tmp_path / "config.json"
     path.write_text(json.dumps(config(known=known, settings=RAW | {"fleet_size": FLEET})))
     ran = start(path)
@@ -391,7 +260,10 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "config.json"
-    for entries, found in (([box(1), box(2)], 2), ([box(1), box(2) | {"address": "nowhere"}], None)):
+    for entries, found in (
+        ([endpoint_fields(1), endpoint_fields(2)], 2),
+        ([endpoint_fields(1), endpoint_fields(2) | {"address": "nowhere"}], None),
+    ):
         known = {"index": 1, "snapshot": True, "endpoints": entries}
         path.write_text(json.dumps(config(known=known)), "utf-8-sig")
         read = read_config(str(path), {}).known
@@ -401,7 +273,7 @@
 
 async def test_a_process_that_is_told_90_000_backends_twice_stays_under_64_mb(tmp_path: Path) -> None:
     """Its module took 127 MB, and the list was longer than any that it read."""
-    boxes = [box(n, since_ms=1_700_000_000_000 + n) for n in range(MANY)]
+    boxes = [endpoint_fields(n, since_ms=1_700_000_000_000 + n) for n in range(MANY)]
     whole = json.dumps({"index": 1, "snapshot": True, "endpoints": boxes}).encode()
     agent = await PeerServer(gives(whole)).start()
     fleet = RAW | {"fleet_size": FLEET}
@@ -416,10 +288,11 @@
     await asyncio.to_thread(listens, ran)
     async with asyncio.timeout(60):
         await agent.until(lambda: bool(agent.watched))
-        last = json.dumps({"index": 3, "snapshot": False, "endpoints": [box(MANY)]}).encode()
+        last = json.dumps({"index": 3, "snapshot": False, "endpoints": [endpoint_fields(MANY)]}).encode()
         for part in (whole + b"\n", last + b"\n"):
             agent.peers[0].transport.write(b"%x\r\n%b\r\n" % (len(part), part))
-        call = f"POST /control/backends/{box(MANY)['name']}/offline HTTP/1.1\r\nHost: a\r\n\r\n".encode()
+        name = endpoint_fields(MANY)["name"]
+        call = f"POST /control/backends/{name}/offline HTTP/1.1\r\nHost: a\r\n\r\n".encode()
         while not (await ask(admin, call)).startswith(b"HTTP/1.1 200 "):
             await asyncio.sleep(0.05)
     most = peak(ran.pid)
