--- a/quota_ingress/net/discovery/endpoint.py
+++ b/quota_ingress/net/discovery/endpoint.py
@@ -7,9 +7,11 @@
 from quota_ingress.policy.endpoint_list import EndpointState
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class EndpointEntry:
-    """An endpoint's entry in the list.
+    """An endpoint's entry in the list. Never changed once made.
+
+    It is not frozen, as a frozen one is several times as expensive to make, and lists are long.
 
     Attributes:
         name: The same at every ingress.
--- a/quota_ingress/net/discovery/endpoint_codec.py
+++ b/quota_ingress/net/discovery/endpoint_codec.py
@@ -58,32 +58,27 @@
         EndpointListError: A field is missing, or its value is not what the protocol allows.
     """
     try:
-        return _decode_fields(fields)
+        status = str(fields[_STATUS_KEY])
+        state = STATE_BY_STATUS.get(status)
+        if state is None:
+            raise EndpointListError(f"status {status!r} is unknown")
+        weight = float(fields.get("weight", 1.0))
+        if not math.isfinite(weight):
+            raise EndpointListError(f"weight {weight} is not finite")
+        return EndpointEntry(
+            str(fields[_NAME_KEY]),
+            state,
+            _decode_address(fields, state),
+            str(fields.get("zone", "")),
+            str(fields.get("type", "")),
+            int(fields.get("group", 0)),
+            weight,
+            round(float(fields.get("since_ms", 0)) * _US_PER_MS),
+        )
     except DECODE_ERRORS as error:
         raise as_list_error(error) from None
 
 
-def _decode_fields(fields: dict[str, Any]) -> EndpointEntry:
-    name = str(fields[_NAME_KEY])
-    status = str(fields[_STATUS_KEY])
-    state = STATE_BY_STATUS.get(status)
-    if state is None:
-        raise EndpointListError(f"status {status!r} is unknown")
-    weight = float(fields.get("weight", 1.0))
-    if not math.isfinite(weight):
-        raise EndpointListError(f"weight {weight} is not finite")
-    return EndpointEntry(
-        name=name,
-        state=state,
-        address=_decode_address(fields, state),
-        zone=str(fields.get("zone", "")),
-        kind=str(fields.get("type", "")),
-        group=int(fields.get("group", 0)),
-        weight=weight,
-        started_us=round(float(fields.get("since_ms", 0)) * _US_PER_MS),
-    )
-
-
 def _decode_address(fields: dict[str, Any], state: EndpointState) -> tuple[str, int]:
     """Returns host and port; a removed endpoint need not have an address."""
     is_required = state is not EndpointState.REMOVED
--- a/quota_ingress/net/discovery/packed_entry.py
+++ b/quota_ingress/net/discovery/packed_entry.py
@@ -18,6 +18,7 @@
 
 PackedEntry = NewType("PackedEntry", str)
 
+_READY = EndpointState.READY
 _READY_CODE = "u"
 _DRAINING_CODE = "d"
 _REMOVED_CODE = "r"
@@ -33,7 +34,7 @@
 def pack_entry(entry: EndpointEntry) -> PackedEntry:
     """Returns the packed form of `entry`, without its name."""
     host, port = entry.address
-    code = _CODE_BY_STATE[entry.state]
+    code = _READY_CODE if entry.state is _READY else _CODE_BY_STATE[entry.state]
     numbers = f"{port} {entry.group} {entry.weight!r} {entry.started_us:x} {len(host)} {len(entry.zone)}"
     return PackedEntry(f"{code}{numbers} {host}{entry.zone}{entry.kind}")
 
@@ -48,14 +49,14 @@
     zone_start = int(host_length)
     kind_start = zone_start + int(zone_length)
     return EndpointEntry(
-        name=name,
-        state=_STATE_BY_CODE[packed[0]],
-        address=(words[:zone_start], int(port)),
-        zone=words[zone_start:kind_start],
-        kind=words[kind_start:],
-        group=int(group),
-        weight=float(weight),
-        started_us=int(started, 16),
+        name,
+        _STATE_BY_CODE[packed[0]],
+        (words[:zone_start], int(port)),
+        words[zone_start:kind_start],
+        words[kind_start:],
+        int(group),
+        float(weight),
+        int(started, 16),
     )
 
 
