--- a/ingress_testbed/probe.py
+++ b/ingress_testbed/probe.py
@@ -81,7 +81,7 @@
         changes = [listed(range(n, n + 1), ListKind.DELTA, started=SECOND + n) for n in range(20)]
         change = used(lambda: [gateway.handle(2 * SECOND, c) for c in changes]) / len(changes)
         request = used(lambda: served(gateway, 60 * SECOND, range(REQUESTS))) / REQUESTS
-        own = len(getattr(gateway.fleet, "own", ()))
+        own = len(getattr(gateway.endpoints, "preferred", ()))
         lost = listed(range(round(OUTAGE * size)), ListKind.DELTA, gone=True)
         zone = used(lambda: gateway.handle(90 * SECOND, lost))
         return {
--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -23,7 +23,7 @@
 
 from dataclasses import dataclass
 
-from quota_ingress.policy.endpoint_set import COLD_PART
+from quota_ingress.policy.endpoint_set import SLOW_START_BUDGET_FRACTION
 from quota_ingress.policy.settings import Safety
 
 LONG_AGO = 0
@@ -90,11 +90,11 @@
 
 
 def reserve(safety: Safety) -> int:
-    """Us of a ramp that the unused part of the cold budget (COLD_PART) covers, at its very start."""
+    """Microseconds of a ramp that the unused part of the overload budget covers, at its very start."""
     if safety.initial_capacity_fraction >= 1:
         return 0
     return int(
-        (1 / COLD_PART - 1)
+        (1 / SLOW_START_BUDGET_FRACTION - 1)
         * safety.initial_capacity_fraction
         / (1 - safety.initial_capacity_fraction)
         * safety.warmup_time
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -53,7 +53,7 @@
 )
 from quota_ingress.policy.settings import Idempotency, Settings
 from quota_ingress.policy.snapshot import PolicySnapshot
-from quota_ingress.policy.subsetting import deal
+from quota_ingress.policy.subsetting import assign_subset
 
 ANSWER_MARGIN = 10_000  # us before the client's deadline by which its answer is on the way
 LAST_ATTEMPT = 15_000  # us before it by which no attempt is waited for any longer
@@ -102,7 +102,7 @@
         self.directory = EndpointDirectory()
         self.restored_at: Callable[[str], int] = lambda name: 0  # us, by operators; 0: it has not been
         self._starts = StartTimes(reserve(settings.safety))
-        self._subset = deal(
+        self._subset = assign_subset(
             settings.gateway_index, settings.fleet_size, 0
         )  # what of it is told to the module
         self._backends: dict[str, int] = {}  # those told, by name; a number is never used again
@@ -202,7 +202,9 @@
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
         self.directory.take(listing)
         before = self._subset
-        self._subset = deal(self.settings.gateway_index, self.settings.fleet_size, self.directory.up, before)
+        self._subset = assign_subset(
+            self.settings.gateway_index, self.settings.fleet_size, self.directory.up, before
+        )
         changed: Iterable[str] = listing.packed
         if listing.is_snapshot:
             changed = [*self.directory, *(n for n in self._backends if n not in self.directory)]
@@ -225,16 +227,16 @@
         listed = [self._listed_backend(entry, number, now) for entry, number in found]
         if not listing.is_snapshot:
             listed += [ListedEndpoint(n, EndpointState.REMOVED, 0, 0, 0, 1.0, 0) for n in gone]
-        ready = self.directory.up if self._subset.held > 1 else 0
+        ready = self.directory.up if self._subset.candidate_parts > 1 else 0
         self._events.append(EndpointsListed(kind, listing.index, tuple(listed), ready))
         self.upstream.reconcile(gone)
         self._drain()
 
     def _holds(self, name: str) -> bool:
         """One that is draining is not taken in for its place in the subset, but stays where it was."""
-        if name not in self.directory or not self._subset.holds(_mark(name)):
+        if name not in self.directory or not self._subset.is_candidate(_hash_key(name)):
             return False
-        return self._subset.held == 1 or name in self._backends or self.directory.is_up(name)
+        return self._subset.candidate_parts == 1 or name in self._backends or self.directory.is_up(name)
 
     def _tell(self, name: str, found: list[tuple[EndpointEntry, int]], gone: list[int]) -> None:
         if self._holds(name):
@@ -516,10 +518,17 @@
         if started != self.restored_at(entry.name):
             started = self._starts.local(entry.name, entry.started_us, now)
         return ListedEndpoint(
-            number, STATES[entry.status], zone, entry.group, kind, entry.weight, started, _mark(entry.name)
+            number,
+            STATES[entry.status],
+            zone,
+            entry.group,
+            kind,
+            entry.weight,
+            started,
+            _hash_key(entry.name),
         )
 
 
-def _mark(name: str) -> int:
+def _hash_key(name: str) -> int:
     """The same at every ingress, and not 0."""
     return zlib.crc32(name.encode(errors="surrogatepass")) or 1
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -55,7 +55,7 @@
         )
         if not (plans and classes and settings.fleet_size > 0 < limits.max_attempts):
             raise ValueError("settings: classes, plans, fleet_size or limits make no sense")
-        self.settings, self.fleet = settings, EndpointSet(settings, random.Random(seed))
+        self.settings, self.endpoints = settings, EndpointSet(settings, random.Random(seed))
         self.accounts: dict[int, CustomerQuota] = {}
         self.requests: dict[int, Request] = {}
         self.flying: dict[tuple[int, int], tuple[Request, Attempt]] = {}
@@ -80,12 +80,12 @@
                 if (request := self.requests.get(token)) and not request.attempts:
                     if request not in request.account.waiting:
                         self.admit(request)  # its turn to ask the counter may have come
-                elif request and self.fleet.used() < SPARE:
+                elif request and self.endpoints.utilization() < SPARE:
                     self.send(request)  # a second copy, only while backends have room for it
             case CounterAnswered():
                 self.count_answered(event)
             case EndpointsListed(kind):
-                self.fleet.listed(event)
+                self.endpoints.on_endpoints_listed(event)
                 if self.settings.must_subscribe and kind in (ListKind.FAILED, ListKind.CACHED):
                     self.actions.append(SubscribeToEndpoints(True))
             case ClientDisconnected(number):
@@ -103,37 +103,39 @@
         Leases and unreported units are no longer this gateway's: what it still has to finish asks the counter
         anew.
         """
-        endpoints = self.fleet
+        endpoints = self.endpoints
         customers = tuple(
             quota.hand_over(customer, self.settings.plans.index(quota.plan))
             for customer, quota in self.accounts.items()
         )
         return PolicySnapshot(
-            baseline_latencies=tuple(endpoints.usual),
-            mean_slowdowns=tuple(endpoints.typical),
-            fleet_headroom=endpoints.more,
+            baseline_latencies=tuple(endpoints.baseline_latencies),
+            mean_slowdowns=tuple(endpoints.mean_slowdowns),
+            fleet_headroom=endpoints.fleet_headroom,
             counter_congestion=self.pacing.congestion,
             customers=customers,
             endpoints=tuple(
-                EndpointSnapshot(number, endpoint.limit, tuple(endpoint.slow))
-                for number, endpoint in endpoints.backends.items()
+                EndpointSnapshot(number, endpoint.concurrency_limit, tuple(endpoint.slowdown_by_class))
+                for number, endpoint in endpoints.candidates.items()
             ),
         )
 
     def restore(self, snapshot: PolicySnapshot) -> None:
         """Goes on where another process stopped; what does not fit these settings is left out."""
-        settings, endpoints = self.settings, self.fleet
+        settings, endpoints = self.settings, self.endpoints
         class_count = len(settings.classes)
         if len(snapshot.baseline_latencies) == len(snapshot.mean_slowdowns) == class_count:
-            endpoints.usual = list(snapshot.baseline_latencies)
-            endpoints.typical = list(snapshot.mean_slowdowns)
-            endpoints.more = max(0.0, snapshot.fleet_headroom)
+            endpoints.baseline_latencies = list(snapshot.baseline_latencies)
+            endpoints.mean_slowdowns = list(snapshot.mean_slowdowns)
+            endpoints.fleet_headroom = max(0.0, snapshot.fleet_headroom)
             self.pacing.set(snapshot.counter_congestion)
         for learned in snapshot.endpoints:
-            endpoint = endpoints.backends.get(learned.id)
+            endpoint = endpoints.candidates.get(learned.id)
             if endpoint and len(learned.slowdown_by_class) == class_count:
-                endpoint.limit = max(min(1.0, endpoints.first / 4), learned.concurrency_limit)
-                endpoint.slow = list(learned.slowdown_by_class)
+                endpoint.concurrency_limit = max(
+                    min(1.0, endpoints.initial_limit / 4), learned.concurrency_limit
+                )
+                endpoint.slowdown_by_class = list(learned.slowdown_by_class)
         for customer in snapshot.customers:
             fits = (
                 0 <= customer.plan < len(settings.plans) and 0 < customer.gateway_count <= settings.fleet_size
@@ -218,7 +220,7 @@
             part = part // 1  # else never as much as one
         if account.gateway_count > WIDE and account.lease_success_rate < 0:
             part *= self.success[account.plan]  # nothing is known of it, but of its plan's customers
-        if self.fleet.rng.random() >= part:
+        if self.endpoints.rng.random() >= part:
             account.local_allowance -= (
                 units * part
             )  # the draw was for all of it: a second one would make it more
@@ -272,7 +274,7 @@
         # What goes on unheard is missing in the count. In that measure, what was refused is left in it: the
         # counter has no room to be asked for all, this saves calls, and it is of the same customers, those
         # at their limit. Left in beyond that, it would starve who asks several times its quota.
-        if over > 0 and self.fleet.rng.random() < self.heard_part**2:
+        if over > 0 and self.endpoints.rng.random() < self.heard_part**2:
             self.call_wide(account, event.name, start, -over, False)
         account.counted_usage, account.last_answer_at = total - over, self.now
         account.counted_lease += (amount - over) / left
@@ -350,7 +352,7 @@
 
     def overflow(self, request: Request) -> None:  # second stage: retry-after, or a firm refusal
         plan = request.account.plan
-        if plan.over_quota_earnings > plan.over_quota_cost and self.fleet.used() < SPARE:
+        if plan.over_quota_earnings > plan.over_quota_cost and self.endpoints.utilization() < SPARE:
             self.send(request)  # the plan pays for service beyond its quota while the fleet has room to spare
         else:
             wait = request.account.book(self.now, request.event.units)
@@ -377,14 +379,14 @@
 
     def send(self, request: Request) -> bool:
         event, account, cls, first = request.event, request.account, request.cls, not request.attempts
-        least = 0 if first else int(LAST_CHANCE * self.fleet.usual[event.request_class])
+        least = 0 if first else int(LAST_CHANCE * self.endpoints.baseline_latencies[event.request_class])
         over = len(request.attempts) >= self.settings.limits.max_attempts or self.now + least >= request.cut
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
             over = over or account.ceiling_allowance < event.units
         backend = (
             None
             if over
-            else self.fleet.pick(self.now, event.request_class, lambda b: self.may_send(request, b))
+            else self.endpoints.choose(self.now, event.request_class, lambda b: self.may_send(request, b))
         )
         if backend is None:
             if first:
@@ -394,7 +396,7 @@
         number, timeout = len(request.attempts), request.cut - self.now
         patience = int(
             max(
-                6 * (self.fleet.usual[event.request_class] or cls.latency_objective / 6),
+                6 * (self.endpoints.baseline_latencies[event.request_class] or cls.latency_objective / 6),
                 cls.latency_objective / 2,
             )
         )  # older: stuck
@@ -419,9 +421,14 @@
         account, cls = request.account, request.cls
         account.in_flight -= 1
         attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        self.fleet.ended(attempt.backend, self.now, request.event.request_class, event.outcome, event.latency)
+        self.endpoints.on_attempt_ended(
+            attempt.backend, self.now, request.event.request_class, event.outcome, event.latency
+        )
         for load in [v for n, v in zip(self.settings.load_fields, event.load, strict=False) if n in BUSY]:
-            attempt.backend.load, attempt.backend.load_at = load if 0 <= load < 1e6 else 0.0, self.now
+            attempt.backend.reported_load, attempt.backend.reported_at = (
+                load if 0 <= load < 1e6 else 0.0,
+                self.now,
+            )
         if self.settings.settles_after_response and event.outcome is Outcome.OK and event.settled_units > 0:
             account.leased_units -= event.settled_units - request.event.units
         if event.request_ended:
--- a/quota_ingress/policy/subsetting.py
+++ b/quota_ingress/policy/subsetting.py
@@ -1,66 +1,84 @@
-"""Deterministic subsetting: which backends of a long list a gateway has to do with. No gateway asks another.
+"""Deterministic subsetting: which endpoints of a long list a gateway deals with, without coordination.
 
-Every backend draws a number for each row of gateways from a mark that is the same everywhere. Among as many
-neighbouring gateways as there are parts, each backend falls to exactly one, so all get as many gateways (as
-in "Site Reliability Engineering", O'Reilly 2016, chapter 20). As parts come in powers of two, a list that
-shrinks joins another part to this one, and connections stay of use.
+Every endpoint's hash key, which is the same at every gateway, is hashed once for each group of neighbouring
+gateways. Within a group of as many gateways as there are parts, each endpoint falls to exactly one, so all
+endpoints get equally many gateways ("Site Reliability Engineering", O'Reilly 2016, chapter 20). The number
+of parts is a power of two: when a list shrinks, a gateway's part is joined with another one, and the
+connections that it has stay useful.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ROW = 8  # gateways that deal backends out among them while there are few: a power of two, as the parts are
-OWN = 12  # backends that a gateway of a large fleet keeps to, at the least: it learns more of each, and the
-# fleet opens fewer connections; another gateway keeps to those that this one leaves
-WIDE_OWN = 64  # ... and with more parts than ROW: a slow or lost one of them matters little by then
-HELD = 512  # backends that a gateway holds at all, at the least, for when those that it keeps to have no room
-STICKY = 0.75  # of the count at which parts were doubled, under which they are halved again: dealing anew
-# costs a pass over the whole list, and a count may go to and fro
-MIX = 0x9E3779B97F4A7C15  # odd 64-bit multiplier (golden ratio): spreads neighbouring numbers
+SUBSET_GROUP_SIZE = 8  # gateways in a group while there are at most as many parts; a power of two
+MIN_PREFERRED = 12  # endpoints in a preferred subset of at most SUBSET_GROUP_SIZE parts
+MIN_PREFERRED_WIDE = 64  # endpoints in a preferred subset of more parts
+MIN_CANDIDATES = 512  # endpoints in a candidate subset
+RESIZE_HYSTERESIS = 0.75  # of the endpoints at which the parts doubled: below it, their number is halved
+GOLDEN_RATIO_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 / golden ratio, odd
 
 
 def mix(number: int, salt: int) -> int:
-    """64 bits that look drawn by chance, the same at every gateway."""
-    mixed = number * MIX + salt
+    """Returns a 64-bit hash that is the same at every gateway (after SplitMix64's finalizer)."""
+    mixed = number * GOLDEN_RATIO_MULTIPLIER + salt
     for shift in (30, 27, 31):
-        mixed = (mixed ^ (mixed >> shift)) * MIX & (1 << 64) - 1
+        mixed = (mixed ^ (mixed >> shift)) * GOLDEN_RATIO_MULTIPLIER & (1 << 64) - 1
     return mixed
 
 
 @dataclass(frozen=True, slots=True)
 class Subset:
-    """One gateway's part: what it holds contains what it keeps to (`own`). Both are counts of equal parts."""
+    """One gateway's subsets of the list: it sends to the preferred one while that has capacity.
 
-    me: int
-    row: int
-    own: int
-    held: int
+    The candidate subset contains the preferred one; the gateway ignores every other endpoint.
+    """
+
+    gateway_index: int
+    subset_group: int  # salt of the hash
+    preferred_parts: int  # equal parts of the list, one of which is this gateway's preferred subset
+    candidate_parts: int  # the same for the candidate subset; 1: the whole list
+
+    def is_preferred(self, hash_key: int) -> bool:
+        """Returns whether the endpoint with that key is in the preferred subset."""
+        return (mix(hash_key, self.subset_group) ^ self.gateway_index) % self.preferred_parts == 0
 
-    def owns(self, mark: int) -> bool:
-        """Whether the gateway keeps to the backend of that mark."""
-        return (mix(mark, self.row) ^ self.me) % self.own == 0
+    def is_candidate(self, hash_key: int) -> bool:
+        """Returns whether the endpoint with that key is in the candidate subset."""
+        if self.candidate_parts == 1:
+            return True
+        return (mix(hash_key, self.subset_group) ^ self.gateway_index) % self.candidate_parts == 0
 
-    def holds(self, mark: int) -> bool:
-        """Whether it has to do with it at all."""
-        return self.held == 1 or (mix(mark, self.row) ^ self.me) % self.held == 0
 
+def assign_subset(
+    gateway_index: int, fleet_size: int, ready_endpoints: int, current: Subset | None = None
+) -> Subset:
+    """Returns the subset of one gateway for a list with that many ready endpoints.
 
-def deal(me: int, fleet_size: int, ready: int, before: Subset | None = None) -> Subset:
-    """The part of the gateway `me` of a list with `ready` backends; a short list is held whole. `before`: the
-    part until now, which stays while the count is just under the one that it was dealt for.
+    Every gateway of a short list has all of it as candidates. A `current` subset is kept while the number of
+    endpoints is just under the one for which it was assigned, as a new one costs a pass over the whole list.
     """
-    own = held = 1
-    was_own, was_held = (before.own, before.held) if before else (1, 1)
-    while 2 * own <= fleet_size and ready >= _least(2 * own, OWN if own < ROW else WIDE_OWN, was_own):
-        own *= 2
-    while 4 * held <= own and ready >= _least(2 * held, HELD, was_held):
-        held *= 2
-    # Rows of a large fleet are as wide as parts can become: more parts then split these, and deal no others.
-    width = ROW if own <= ROW else 1 << fleet_size.bit_length() - 1
-    return Subset(me, me // width, own, held)
-
-
-def _least(parts: int, each: int, was: int) -> float:
-    """Backends for that many parts; those of a few are dealt anew at once, as that costs little."""
-    return parts * each * (STICKY if parts <= was and each > OWN else 1.0)
+    current_preferred = current.preferred_parts if current else 1
+    current_candidate = current.candidate_parts if current else 1
+    preferred = 1
+    while 2 * preferred <= fleet_size and ready_endpoints >= _required_endpoints(
+        2 * preferred,
+        MIN_PREFERRED if preferred < SUBSET_GROUP_SIZE else MIN_PREFERRED_WIDE,
+        current_preferred,
+    ):
+        preferred *= 2
+    candidate = 1
+    while 4 * candidate <= preferred and ready_endpoints >= _required_endpoints(
+        2 * candidate, MIN_CANDIDATES, current_candidate
+    ):
+        candidate *= 2
+    # The groups of a large fleet are as wide as parts can become: a change of the number of parts then splits
+    # or joins parts, and moves no endpoint between unrelated ones.
+    group_size = SUBSET_GROUP_SIZE if preferred <= SUBSET_GROUP_SIZE else 1 << fleet_size.bit_length() - 1
+    return Subset(gateway_index, gateway_index // group_size, preferred, candidate)
+
+
+def _required_endpoints(parts: int, endpoints_each: int, current_parts: int) -> float:
+    """Returns the ready endpoints from which on the list has that many parts; small parts resize at once."""
+    keeps = parts <= current_parts and endpoints_each > MIN_PREFERRED
+    return parts * endpoints_each * (RESIZE_HYSTERESIS if keeps else 1.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -115,13 +115,13 @@
 
 def test_bound_of_a_cold_backend_grows_while_its_warm_part_is_used() -> None:
     g = gateway(backend(1), backend(2, started_at=1))
-    cold = g.fleet.backends[2]
-    before = cold.limit
-    g.fleet.ended(cold, SECOND, 0, Outcome.OK, 50_000)
-    assert cold.limit == before  # not used
-    cold.out = 2
-    g.fleet.ended(cold, SECOND, 0, Outcome.OK, 50_000)
-    assert cold.limit > before
+    cold = g.endpoints.candidates[2]
+    before = cold.concurrency_limit
+    g.endpoints.on_attempt_ended(cold, SECOND, 0, Outcome.OK, 50_000)
+    assert cold.concurrency_limit == before  # not used
+    cold.in_flight = 2
+    g.endpoints.on_attempt_ended(cold, SECOND, 0, Outcome.OK, 50_000)
+    assert cold.concurrency_limit > before
 
 
 def test_fresh_reports_steer_the_choice_and_old_or_impossible_ones_do_not() -> None:
@@ -155,10 +155,10 @@
 def test_bound_grows_on_answers_at_a_quarter_of_the_aim() -> None:
     """Days with short aims: an idle backend's own work took a fifth of the aim, and bounds sank to one."""
     g = gateway(backend(1))
-    (known,) = g.fleet.backends.values()
-    known.limit, known.out = 2.0, 2
-    g.fleet.ended(known, SECOND, 0, Outcome.OK, SECOND // 4)
-    assert known.limit > 2.0
+    (known,) = g.endpoints.candidates.values()
+    known.concurrency_limit, known.in_flight = 2.0, 2
+    g.endpoints.on_attempt_ended(known, SECOND, 0, Outcome.OK, SECOND // 4)
+    assert known.concurrency_limit > 2.0
 
 
 def test_an_answer_is_waited_for_until_half_of_the_aim_has_passed() -> None:
@@ -173,7 +173,7 @@
     g = gateway(backend(1))
     for n in range(2, 50):
         g.handle(n, listed(backend(n), backend(n - 1, GONE), kind=ListKind.DELTA))
-    assert set(g.fleet.backends) == {49}
+    assert set(g.endpoints.candidates) == {49}
 
 
 def test_customers_that_came_once_are_forgotten_when_their_store_must_be_full() -> None:
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -415,11 +415,11 @@
         number, now = number + 1, now + 100_000
         lease(old, now, number)
         assert number < 50
-    old.fleet.backends[1].limit = 9.0
+    old.endpoints.candidates[1].concurrency_limit = 9.0
     carried = old.hand_over()
     new.restore(carried)
     assert new.accounts[7].leased_units == left and old.accounts[7].leased_units == 0
-    assert new.fleet.backends[1].limit == 9.0
+    assert new.endpoints.candidates[1].concurrency_limit == 9.0
     actions, asked = lease(new, now, 1)
     assert asked == 0 and any(isinstance(a, SendAttempt) for a in actions)  # from the lease
     assert lease(old, now, 99)[1] > 0  # what it has still to finish asks the counter
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -230,8 +230,8 @@
     assert world.held() == {box(n)["name"] for n in range(300, 1050)}
     for event in world.script.of(EndpointsListed):
         gateway.handle(0, event)
-    assert gateway.fleet.backends.keys() == set(world.engine._backends.values())
-    assert len(gateway.fleet.ready) == gateway.fleet.total == 749
+    assert gateway.endpoints.candidates.keys() == set(world.engine._backends.values())
+    assert len(gateway.endpoints.ready) == gateway.endpoints.ready_total == 749
 
 
 @examples(max_examples=40, deadline=None)
@@ -254,7 +254,12 @@
     events: list[tuple[bool, list[tuple[int, str, int]]]],
 ) -> None:
     with pytest.MonkeyPatch.context() as few:
-        for name, value in {"ROW": 2, "OWN": 2, "WIDE_OWN": 3, "HELD": 6}.items():
+        for name, value in {
+            "SUBSET_GROUP_SIZE": 2,
+            "MIN_PREFERRED": 2,
+            "MIN_PREFERRED_WIDE": 3,
+            "MIN_CANDIDATES": 6,
+        }.items():
             few.setattr(subsetting, name, value)
         world, gateway, now = LongWorld(), Gateway(LONG_FLEET, 1), dict[str, dict[str, Any]]()
         for whole, changes in events:
@@ -263,12 +268,12 @@
             gateway.handle(0, world.last)
             now = ({} if whole else now) | {e["name"]: e for e in entries}
             now = {n: e for n, e in now.items() if e["status"] != "removed"}
-            directory, fleet = world.engine.directory, gateway.fleet
+            directory, fleet = world.engine.directory, gateway.endpoints
             assert {n: e.status for n, e in directory.items()} == {n: e["status"] for n, e in now.items()}
-            assert fleet.total == directory.up == sum(e["status"] == "up" for e in now.values())
+            assert fleet.ready_total == directory.up == sum(e["status"] == "up" for e in now.values())
             assert fleet.subset == world.engine._subset
-            assert fleet.backends.keys() == set(world.engine._backends.values())
-            held = {world.known[n]: b.info.state is EndpointState.READY for n, b in fleet.backends.items()}
+            assert fleet.candidates.keys() == set(world.engine._backends.values())
+            held = {world.known[n]: b.info.state is EndpointState.READY for n, b in fleet.candidates.items()}
             assert held == {n: now[n]["status"] == "up" for n in held}
             ready = {n for n, e in now.items() if e["status"] == "up"}
             assert ready & held.keys() == {n for n in ready if world.engine._holds(n)}
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -14,10 +14,10 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, reserve
-from quota_ingress.net.engine.engine import Engine, _mark
+from quota_ingress.net.engine.engine import Engine, _hash_key
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
-from quota_ingress.policy.endpoint_set import COLD_PART
+from quota_ingress.policy.endpoint_set import SLOW_START_BUDGET_FRACTION
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
 from tests.test_net_main import ask, config, listens, start
 
@@ -97,7 +97,7 @@
             safety.initial_capacity_fraction
             + (1 - safety.initial_capacity_fraction) * (age_us + spare) / ramp
         )
-        assert COLD_PART * believed <= present * 1.0001
+        assert SLOW_START_BUDGET_FRACTION * believed <= present * 1.0001
     assert reserve(replace(safety, initial_capacity_fraction=1.0)) == 0
 
 
@@ -148,11 +148,13 @@
     assert [b.started_at for b in script.of(EndpointsListed)[-1].endpoints] == [clock]
     clock += SECOND
     started = told(("c", NOW + 20 * SECOND), whole=False)  # told a second after it started
-    assert clock - started[_mark("c")] <= SECOND
-    assert started.get(_mark("a"), clock - SECOND) == clock - SECOND  # put back a second ago, whatever else
+    assert clock - started[_hash_key("c")] <= SECOND
+    assert (
+        started.get(_hash_key("a"), clock - SECOND) == clock - SECOND
+    )  # put back a second ago, whatever else
     clock += 30 * SECOND
     started = told(("a", NOW + 50 * SECOND), whole=False)  # it has been restarted once more
-    assert clock - started[_mark("a")] <= SECOND
+    assert clock - started[_hash_key("a")] <= SECOND
     loop.close()
 
 
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -152,7 +152,9 @@
     play.rest()
     gateway = play.gateway
     assert not gateway.requests and not gateway.flying and not gateway.calls
-    assert gateway.fleet.out == 0 and not any(b.out for b in gateway.fleet.backends.values())
+    assert gateway.endpoints.in_flight == 0 and not any(
+        b.in_flight for b in gateway.endpoints.candidates.values()
+    )
     for account in gateway.accounts.values():
         assert account.in_flight == 0 and not account.waiting and not account.lease_requested
         sums = (
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -178,7 +178,7 @@
     (send,) = of(g.handle(0, arrival(1)), SendAttempt)
     g.handle(10, listed(backend(1, started_at=10), kind=ListKind.DELTA))
     g.handle(20, AttemptEnded(1, 0, send.endpoint, Outcome.RESET, 20, True))
-    assert g.fleet.out == 0 and g.fleet.backends[1].out == 0
+    assert g.endpoints.in_flight == 0 and g.endpoints.candidates[1].in_flight == 0
 
 
 def held_back(lost: int) -> int:
@@ -313,7 +313,7 @@
     for event in [*reversed(late), *strays, *late]:
         for action in g.handle(5 * SECOND, event):
             assert not isinstance(action, SendAttempt | Reject | Fail)
-    assert not g.requests and not g.flying and g.fleet.out == 0
+    assert not g.requests and not g.flying and g.endpoints.in_flight == 0
     assert all(count == 1 for count in ends.values())
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -56,11 +56,11 @@
     for seed in range(30):
         g = Gateway(settings(fleet_size=30, plans=free), seed)
         g.handle(SECOND, listed(*(backend(n) for n in range(4)), backend(9, started_at=SECOND)))
-        g.fleet.backends[9].out = 1  # one is out, and more it may not have, while others go on
+        g.endpoints.candidates[9].in_flight = 1  # one is out, and more it may not have, while others go on
         for n in range(200):
             for s in of(g.handle(2 * SECOND + n, arrival(n)), SendAttempt):
                 g.handle(2 * SECOND + n, AttemptEnded(n, 0, s.endpoint, Outcome.OK, 9000, True))
-        g.fleet.backends[9].out = 0
+        g.endpoints.candidates[9].in_flight = 0
         for n in range(200, 205):
             at_once += sum(s.endpoint == 9 for s in of(g.handle(3 * SECOND, arrival(n)), SendAttempt))
     assert at_once < 15  # its part of the 150 requests is 8
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -13,7 +13,13 @@
 from quota_ingress.policy.actions import SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.gateway import Gateway
-from quota_ingress.policy.subsetting import HELD, OWN, STICKY, WIDE_OWN, deal
+from quota_ingress.policy.subsetting import (
+    MIN_CANDIDATES,
+    MIN_PREFERRED,
+    MIN_PREFERRED_WIDE,
+    RESIZE_HYSTERESIS,
+    assign_subset,
+)
 from tests.helpers import DRAINING, GONE, READY, SECOND, arrival, backend, listed, of, settings
 from tests.test_scale import FREE, used_by
 
@@ -25,34 +31,43 @@
 def test_in_each_row_of_gateways_every_backend_falls_to_one_and_is_held_by_as_many_as_any(
     size: int, ready: int
 ) -> None:
-    parts, held = deal(0, size, ready).own, deal(0, size, ready).held
+    parts, held = assign_subset(0, size, ready).preferred_parts, assign_subset(0, size, ready).candidate_parts
     assert 1 < parts <= size and parts % held == 0
     for first in {0, (size // parts - 1) * parts}:
-        row = [deal(me, size, ready) for me in range(first, first + parts)]
-        for mark in range(1, 20):
-            assert sum(s.owns(mark) for s in row) == 1
-            assert sum(s.holds(mark) for s in row) == parts // held
-            assert all(s.holds(mark) for s in row if s.owns(mark))
+        row = [assign_subset(me, size, ready) for me in range(first, first + parts)]
+        for hash_key in range(1, 20):
+            assert sum(s.is_preferred(hash_key) for s in row) == 1
+            assert sum(s.is_candidate(hash_key) for s in row) == parts // held
+            assert all(s.is_candidate(hash_key) for s in row if s.is_preferred(hash_key))
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 16, 200])
 @pytest.mark.parametrize("ready", [0, 1, 14, 60, 95, 96, 1023])
 def test_a_list_of_hundreds_is_held_whole_and_dealt_by_rows_of_eight(size: int, ready: int) -> None:
     parts = 1
-    while 2 * parts <= min(ready / OWN, size, 8):
+    while 2 * parts <= min(ready / MIN_PREFERRED, size, 8):
         parts *= 2
-    subset = deal(size - 1, size, ready)
-    assert (subset.own, subset.held, subset.row) == (parts, 1, (size - 1) // 8)
+    subset = assign_subset(size - 1, size, ready)
+    assert (subset.preferred_parts, subset.candidate_parts, subset.subset_group) == (
+        parts,
+        1,
+        (size - 1) // 8,
+    )
 
 
 def test_a_part_of_a_long_list_is_dealt_anew_only_when_the_count_has_changed_for_good() -> None:
-    before, changes = deal(5, SIZE, MANY), 0
-    at = before.own * WIDE_OWN  # the least for so many parts
-    for ready in [at + 1, at - 1] * 20 + [int(at * STICKY) + 1]:
-        after = deal(5, SIZE, ready, before)
+    before, changes = assign_subset(5, SIZE, MANY), 0
+    at = before.preferred_parts * MIN_PREFERRED_WIDE  # the least for so many parts
+    for ready in [at + 1, at - 1] * 20 + [int(at * RESIZE_HYSTERESIS) + 1]:
+        after = assign_subset(5, SIZE, ready, before)
         before, changes = after, changes + (after != before)
-    assert not changes and deal(5, SIZE, at - 1).own < before.own  # whoever starts now deals by what it finds
-    assert deal(5, SIZE, int(at * STICKY) - 1, before).own == before.own // 2
+    assert (
+        not changes and assign_subset(5, SIZE, at - 1).preferred_parts < before.preferred_parts
+    )  # whoever starts now deals by what it finds
+    assert (
+        assign_subset(5, SIZE, int(at * RESIZE_HYSTERESIS) - 1, before).preferred_parts
+        == before.preferred_parts // 2
+    )
 
 
 def told(count: int, size: int = SIZE, me: int = 5, **more: object) -> Gateway:
@@ -63,8 +78,12 @@
 
 def test_of_a_long_list_one_of_thousands_of_gateways_holds_hundreds_and_keeps_to_some_dozens() -> None:
     g = told(MANY)
-    own, held = {b.info.id for b in g.fleet.own.members}, set(g.fleet.backends)
-    assert WIDE_OWN / 2 < len(own) < 3 * WIDE_OWN and HELD / 2 < len(held) < 3 * HELD and own < held
+    own, held = {b.info.id for b in g.endpoints.preferred.members}, set(g.endpoints.candidates)
+    assert (
+        MIN_PREFERRED_WIDE / 2 < len(own) < 3 * MIN_PREFERRED_WIDE
+        and MIN_CANDIDATES / 2 < len(held) < 3 * MIN_CANDIDATES
+        and own < held
+    )
     assert used_by(g, 0, 0) <= own
     drained = [backend(n, DRAINING) for n in own]
     g.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
@@ -74,7 +93,7 @@
 def change_cost(count: int) -> float:
     """s for one change of a backend that is held, the least of some."""
     g, costs = told(count), []
-    held = next(iter(g.fleet.backends))
+    held = next(iter(g.endpoints.candidates))
     for n in range(40):
         event = listed(backend(held, started_at=n), kind=ListKind.DELTA)
         begun = time.process_time()
@@ -90,13 +109,13 @@
 
 def test_what_may_be_out_goes_by_all_backends_and_not_by_those_held() -> None:
     whole, part = told(9000, 700), Gateway(settings(fleet_size=700, gateway_index=5, plans=FREE), seed=1)
-    held = [backend(n) for n in whole.fleet.backends]
+    held = [backend(n) for n in whole.endpoints.candidates]
     part.handle(0, EndpointsListed(ListKind.FULL, 1, tuple(held), ready_total=9000))
-    assert len(held) < 3000 and part.fleet.backends.keys() == whole.fleet.backends.keys()
+    assert len(held) < 3000 and part.endpoints.candidates.keys() == whole.endpoints.candidates.keys()
     for g in (whole, part):
         sent = [n for n in range(1000) if of(g.handle(1, arrival(n)), SendAttempt)]
         assert len(sent) > 90  # half of 16 / 700 of 9,000; of those held it would be a few
-    assert part.fleet.own.places.keys() == whole.fleet.own.places.keys()
+    assert part.endpoints.preferred.positions.keys() == whole.endpoints.preferred.positions.keys()
 
 
 CHANGE = st.lists(st.tuples(st.integers(1, 60), STATES, st.integers(0, 2)), max_size=60)
@@ -108,7 +127,13 @@
     events: list[tuple[bool, list[tuple[int, EndpointState, int]]]],
 ) -> None:
     with pytest.MonkeyPatch.context() as few:  # so that a list of some dozens is dealt like a long one
-        for name, value in {"ROW": 2, "OWN": 2, "WIDE_OWN": 3, "HELD": 6, "STICKY": 1.0}.items():
+        for name, value in {
+            "SUBSET_GROUP_SIZE": 2,
+            "MIN_PREFERRED": 2,
+            "MIN_PREFERRED_WIDE": 3,
+            "MIN_CANDIDATES": 6,
+            "RESIZE_HYSTERESIS": 1.0,
+        }.items():
             few.setattr(subsetting, name, value)
         g, fresh = (Gateway(settings(fleet_size=64, gateway_index=5, plans=FREE), seed=n) for n in range(2))
         now: dict[int, ListedEndpoint] = {}
@@ -118,9 +143,13 @@
             now = ({} if whole else now) | {e.id: e for e in entries}
             now = {n: e for n, e in now.items() if e.state is not GONE}
         fresh.handle(0, listed(*now.values()))
-    a, b = g.fleet, fresh.fleet
-    assert a.told == b.told == now and a.total == b.total and a.subset == b.subset
-    assert {n: x.info for n, x in a.backends.items()} == {n: x.info for n, x in b.backends.items()}
-    for mine, other in ((a.ready, b.ready), (a.own, b.own)):
-        assert mine.places.keys() == other.places.keys() and len(mine) == len(mine.places)
-        assert all(mine.members[at] is a.backends[n] for n, at in mine.places.items())
+    a, b = g.endpoints, fresh.endpoints
+    assert (
+        a.listed_endpoints == b.listed_endpoints == now
+        and a.ready_total == b.ready_total
+        and a.subset == b.subset
+    )
+    assert {n: x.info for n, x in a.candidates.items()} == {n: x.info for n, x in b.candidates.items()}
+    for mine, other in ((a.ready, b.ready), (a.preferred, b.preferred)):
+        assert mine.positions.keys() == other.positions.keys() and len(mine) == len(mine.positions)
+        assert all(mine.members[at] is a.candidates[n] for n, at in mine.positions.items())
