--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -23,8 +23,8 @@
 
 from dataclasses import dataclass
 
-from quota_ingress.policy.endpoint_set import SLOW_START_BUDGET_FRACTION
 from quota_ingress.policy.settings import Safety
+from quota_ingress.policy.slow_start import SLOW_START_BUDGET_FRACTION
 
 LONG_AGO = 0
 GREATEST_STEP = 2 * 3600 * 1_000_000  # us: twice the hour by which a wall clock may be stepped
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -17,8 +17,9 @@
 from quota_ingress.policy.call_pacing import CallPacing
 from quota_ingress.policy.customer_quota import WIDE, CustomerQuota, counter_name
 from quota_ingress.policy.durations import SECOND
+from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
-from quota_ingress.policy.endpoint_set import Endpoint, EndpointSet
+from quota_ingress.policy.endpoint_set import EndpointSet
 from quota_ingress.policy.events import (
     NEVER_RAN,
     AttemptEnded,
@@ -30,6 +31,7 @@
     StreamStarted,
     TimerFired,
 )
+from quota_ingress.policy.load_balancer import LoadBalancer
 from quota_ingress.policy.request_state import Attempt, Request
 from quota_ingress.policy.settings import DeduplicationScope, Idempotency, Settings
 from quota_ingress.policy.snapshot import EndpointSnapshot, PolicySnapshot
@@ -43,7 +45,6 @@
 PRIOR = 0.1  # ... and of its first one in that of its plan's customers
 LAST = 0.03  # the weight of the last of their requests in the part that the counter was heard for
 LAST_CHANCE = 0.5  # of the usual latency: a further attempt with less time left is work for nothing
-BUSY = ("queue", "inflight", "util")  # reports that grow with what a backend has to do
 
 
 class Gateway:
@@ -55,7 +56,9 @@
         )
         if not (plans and classes and settings.fleet_size > 0 < limits.max_attempts):
             raise ValueError("settings: classes, plans, fleet_size or limits make no sense")
-        self.settings, self.endpoints = settings, EndpointSet(settings, random.Random(seed))
+        self.settings, self.rng = settings, random.Random(seed)
+        self.endpoints = EndpointSet(settings, self.rng)
+        self.load_balancer = LoadBalancer(settings, self.endpoints, self.rng)
         self.accounts: dict[int, CustomerQuota] = {}
         self.requests: dict[int, Request] = {}
         self.flying: dict[tuple[int, int], tuple[Request, Attempt]] = {}
@@ -109,9 +112,9 @@
             for customer, quota in self.accounts.items()
         )
         return PolicySnapshot(
-            baseline_latencies=tuple(endpoints.baseline_latencies),
-            mean_slowdowns=tuple(endpoints.mean_slowdowns),
-            fleet_headroom=endpoints.fleet_headroom,
+            baseline_latencies=tuple(endpoints.slowdowns.baseline_latencies),
+            mean_slowdowns=tuple(endpoints.slowdowns.mean_slowdowns),
+            fleet_headroom=endpoints.limits.fleet_headroom,
             counter_congestion=self.pacing.congestion,
             customers=customers,
             endpoints=tuple(
@@ -125,16 +128,13 @@
         settings, endpoints = self.settings, self.endpoints
         class_count = len(settings.classes)
         if len(snapshot.baseline_latencies) == len(snapshot.mean_slowdowns) == class_count:
-            endpoints.baseline_latencies = list(snapshot.baseline_latencies)
-            endpoints.mean_slowdowns = list(snapshot.mean_slowdowns)
-            endpoints.fleet_headroom = max(0.0, snapshot.fleet_headroom)
+            endpoints.slowdowns.restore(snapshot.baseline_latencies, snapshot.mean_slowdowns)
+            endpoints.limits.fleet_headroom = max(0.0, snapshot.fleet_headroom)
             self.pacing.set(snapshot.counter_congestion)
         for learned in snapshot.endpoints:
             endpoint = endpoints.candidates.get(learned.id)
             if endpoint and len(learned.slowdown_by_class) == class_count:
-                endpoint.concurrency_limit = max(
-                    min(1.0, endpoints.initial_limit / 4), learned.concurrency_limit
-                )
+                endpoint.concurrency_limit = max(endpoints.limits.minimum, learned.concurrency_limit)
                 endpoint.slowdown_by_class = list(learned.slowdown_by_class)
         for customer in snapshot.customers:
             fits = (
@@ -220,7 +220,7 @@
             part = part // 1  # else never as much as one
         if account.gateway_count > WIDE and account.lease_success_rate < 0:
             part *= self.success[account.plan]  # nothing is known of it, but of its plan's customers
-        if self.endpoints.rng.random() >= part:
+        if self.rng.random() >= part:
             account.local_allowance -= (
                 units * part
             )  # the draw was for all of it: a second one would make it more
@@ -274,7 +274,7 @@
         # What goes on unheard is missing in the count. In that measure, what was refused is left in it: the
         # counter has no room to be asked for all, this saves calls, and it is of the same customers, those
         # at their limit. Left in beyond that, it would starve who asks several times its quota.
-        if over > 0 and self.endpoints.rng.random() < self.heard_part**2:
+        if over > 0 and self.rng.random() < self.heard_part**2:
             self.call_wide(account, event.name, start, -over, False)
         account.counted_usage, account.last_answer_at = total - over, self.now
         account.counted_lease += (amount - over) / left
@@ -365,7 +365,7 @@
             return False
         if ran is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        here, there, sent, tick = backend.info, ran.backend.info, ran.sent_at, self.settings.tick
+        here, there, sent, tick = backend.entry, ran.backend.entry, ran.sent_at, self.settings.tick
         same = {
             DeduplicationScope.ALL: True,
             DeduplicationScope.ZONE: here.zone == there.zone,
@@ -379,14 +379,18 @@
 
     def send(self, request: Request) -> bool:
         event, account, cls, first = request.event, request.account, request.cls, not request.attempts
-        least = 0 if first else int(LAST_CHANCE * self.endpoints.baseline_latencies[event.request_class])
+        least = (
+            0
+            if first
+            else int(LAST_CHANCE * self.endpoints.slowdowns.baseline_latencies[event.request_class])
+        )
         over = len(request.attempts) >= self.settings.limits.max_attempts or self.now + least >= request.cut
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
             over = over or account.ceiling_allowance < event.units
         backend = (
             None
             if over
-            else self.endpoints.choose(self.now, event.request_class, lambda b: self.may_send(request, b))
+            else self.load_balancer.choose(self.now, event.request_class, lambda b: self.may_send(request, b))
         )
         if backend is None:
             if first:
@@ -396,7 +400,11 @@
         number, timeout = len(request.attempts), request.cut - self.now
         patience = int(
             max(
-                6 * (self.endpoints.baseline_latencies[event.request_class] or cls.latency_objective / 6),
+                6
+                * (
+                    self.endpoints.slowdowns.baseline_latencies[event.request_class]
+                    or cls.latency_objective / 6
+                ),
                 cls.latency_objective / 2,
             )
         )  # older: stuck
@@ -408,7 +416,7 @@
             self.actions.append(SetTimer(event.request, self.now + patience))
         elif more and timeout > 1.5 * patience:
             timeout = patience
-        self.actions.append(SendAttempt(event.request, backend.info.id, max(1, timeout)))
+        self.actions.append(SendAttempt(event.request, backend.entry.id, max(1, timeout)))
         request.attempts.append(Attempt(backend, self.now))
         self.flying[event.request, number] = (request, request.attempts[-1])
         account.in_flight += 1
@@ -421,14 +429,10 @@
         account, cls = request.account, request.cls
         account.in_flight -= 1
         attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        self.endpoints.on_attempt_ended(
+        self.load_balancer.on_attempt_ended(
             attempt.backend, self.now, request.event.request_class, event.outcome, event.latency
         )
-        for load in [v for n, v in zip(self.settings.load_fields, event.load, strict=False) if n in BUSY]:
-            attempt.backend.reported_load, attempt.backend.reported_at = (
-                load if 0 <= load < 1e6 else 0.0,
-                self.now,
-            )
+        self.load_balancer.on_load_report(attempt.backend, self.now, event.load)
         if self.settings.settles_after_response and event.outcome is Outcome.OK and event.settled_units > 0:
             account.leased_units -= event.settled_units - request.event.units
         if event.request_ended:
--- /dev/null
+++ b/quota_ingress/policy/load_balancer.py
@@ -0,0 +1,122 @@
+"""Load balancing: the choice of an endpoint for an attempt, and what its end teaches.
+
+Of a sample of the candidates the one with the lowest cost is chosen: the expected latency for the work that
+is in flight there, plus a random part that spreads the choices of gateways that know the same.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Callable, Sequence
+
+from quota_ingress.policy.concurrency_limit import limit_step
+from quota_ingress.policy.durations import SECOND
+from quota_ingress.policy.endpoint import Endpoint
+from quota_ingress.policy.endpoint_set import CandidateSet, EndpointSet
+from quota_ingress.policy.events import Outcome
+from quota_ingress.policy.settings import Settings
+
+SAMPLE_SIZE = 16  # endpoints considered for a request: all of a small fleet
+LOAD_REPORT_LIFETIME = SECOND  # us; older load reports are ignored
+LOAD_FIELDS = ("queue", "inflight", "util")  # values of a load report that grow with an endpoint's load
+MAX_REPORTED_LOAD = 1e6
+MIN_WEIGHT = 1e-3  # that an endpoint's weight counts
+OTHER_ZONE_COST = 1.1  # times the cost, where traffic between zones is paid for
+BUSY_LIMIT_FRACTION = 0.7  # of its limit from which on an endpoint shows that the limit suffices
+BUSY_UTILIZATION = 0.5  # of the pooled limit, the same for the fleet
+
+
+class LoadBalancer:
+    """Chooses endpoints for one gateway."""
+
+    def __init__(self, settings: Settings, endpoints: EndpointSet, rng: random.Random) -> None:
+        self._endpoints = endpoints
+        self._slowdowns = endpoints.slowdowns
+        self._slow_start = endpoints.slow_start
+        self._limits = endpoints.limits
+        self._latency_objectives = [each.latency_objective for each in settings.classes]
+        self._is_load = [name in LOAD_FIELDS for name in settings.load_fields]
+        self._zone = settings.zone
+        self._other_zone_cost = OTHER_ZONE_COST if settings.cross_zone_price > 0 else 1.0
+        self._rng = rng
+
+    def choose(self, now: int, request_class: int, may_send: Callable[[Endpoint], bool]) -> Endpoint | None:
+        """Returns the endpoint for an attempt that begins now, or None where none has capacity.
+
+        `may_send` tells whether the request may go to an endpoint.
+        """
+        endpoints = self._endpoints
+        if endpoints.utilization() >= 1:
+            self._slow_start.defer(len(endpoints.preferred))
+            return None
+        chosen = self._choose_among(endpoints.preferred, now, request_class, may_send)
+        self._slow_start.deferred_requests = 0.0
+        if chosen is None and len(endpoints.preferred) < len(endpoints.ready):
+            chosen = self._choose_among(endpoints.ready, now, request_class, may_send)
+        if chosen:
+            chosen.in_flight += 1
+            endpoints.in_flight += 1
+        return chosen
+
+    def on_attempt_ended(
+        self, endpoint: Endpoint, now: int, request_class: int, outcome: Outcome, latency: int
+    ) -> None:
+        """Learns from the end of an attempt that was sent to a chosen endpoint; latency in microseconds."""
+        endpoint.in_flight = max(0, endpoint.in_flight - 1)
+        self._endpoints.in_flight -= 1
+        self._slowdowns.record(endpoint, now, request_class, outcome, latency)
+        step = limit_step(outcome, latency, self._latency_objectives[request_class])
+        if step < 0 or (outcome is Outcome.OK and self._was_busy(endpoint, now)):
+            self._limits.adjust(endpoint, step)
+            if step < 0 or self._endpoints.utilization() > BUSY_UTILIZATION:
+                self._limits.adjust_headroom(step)
+
+    def on_load_report(self, endpoint: Endpoint, now: int, load: Sequence[float]) -> None:
+        """Takes in a load report, its values in the order of Settings.load_fields."""
+        for is_load, value in zip(self._is_load, load, strict=False):
+            if is_load:
+                endpoint.reported_load = value if 0 <= value < MAX_REPORTED_LOAD else 0.0
+                endpoint.reported_at = now
+
+    def _was_busy(self, endpoint: Endpoint, now: int) -> bool:
+        """Returns whether the endpoint was near its limit, with the attempt that has just ended."""
+        limit = endpoint.concurrency_limit
+        fraction = self._slow_start.warmup_fraction(endpoint, now)
+        return endpoint.in_flight + 1 >= BUSY_LIMIT_FRACTION * limit * fraction
+
+    def _choose_among(
+        self,
+        candidates: CandidateSet,
+        now: int,
+        request_class: int,
+        may_send: Callable[[Endpoint], bool],
+    ) -> Endpoint | None:
+        sample = self._rng.sample(candidates.members, min(SAMPLE_SIZE, len(candidates)))
+        warmup_fraction = self._slow_start.warmup_fraction
+        warm = [endpoint for endpoint in sample if warmup_fraction(endpoint, now) >= 1]
+        if len(warm) < len(sample):
+            warming = self._slow_start.next_warming_endpoint(sample, warm, now, request_class)
+            if warming and may_send(warming):
+                return warming
+        fresh = [e.reported_load for e in sample if now - e.reported_at < LOAD_REPORT_LIFETIME]
+        mean_load = sum(fresh) / max(1, len(fresh)) or 1.0
+        best: Endpoint | None = None
+        lowest_cost = math.inf
+        for endpoint in warm:
+            if endpoint.in_flight >= max(1.0, endpoint.concurrency_limit) or not may_send(endpoint):
+                continue
+            cost = self._cost(endpoint, now, request_class, mean_load)
+            if cost < lowest_cost:
+                best = endpoint
+                lowest_cost = cost
+        return best
+
+    def _cost(self, endpoint: Endpoint, now: int, request_class: int, mean_load: float) -> float:
+        """Returns the expected latency of one more attempt; idle endpoints are chosen by their weight."""
+        is_fresh = now - endpoint.reported_at < LOAD_REPORT_LIFETIME
+        reported = endpoint.reported_load if is_fresh else mean_load
+        load = endpoint.in_flight + self._rng.expovariate(1.0) + reported / mean_load
+        slowdown = self._slowdowns.slowdown(endpoint, request_class, now)
+        cost = max(0.0, load - 1) * slowdown / max(endpoint.entry.weight, MIN_WEIGHT) + slowdown
+        return cost if endpoint.entry.zone == self._zone else cost * self._other_zone_cost
--- a/quota_ingress/policy/request_state.py
+++ b/quota_ingress/policy/request_state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from quota_ingress.policy.endpoint_set import Endpoint
+from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.events import RequestArrived
 from quota_ingress.policy.settings import RequestClass
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -117,10 +117,10 @@
     g = gateway(backend(1), backend(2, started_at=1))
     cold = g.endpoints.candidates[2]
     before = cold.concurrency_limit
-    g.endpoints.on_attempt_ended(cold, SECOND, 0, Outcome.OK, 50_000)
+    g.load_balancer.on_attempt_ended(cold, SECOND, 0, Outcome.OK, 50_000)
     assert cold.concurrency_limit == before  # not used
     cold.in_flight = 2
-    g.endpoints.on_attempt_ended(cold, SECOND, 0, Outcome.OK, 50_000)
+    g.load_balancer.on_attempt_ended(cold, SECOND, 0, Outcome.OK, 50_000)
     assert cold.concurrency_limit > before
 
 
@@ -157,7 +157,7 @@
     g = gateway(backend(1))
     (known,) = g.endpoints.candidates.values()
     known.concurrency_limit, known.in_flight = 2.0, 2
-    g.endpoints.on_attempt_ended(known, SECOND, 0, Outcome.OK, SECOND // 4)
+    g.load_balancer.on_attempt_ended(known, SECOND, 0, Outcome.OK, SECOND // 4)
     assert known.concurrency_limit > 2.0
 
 
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -273,7 +273,7 @@
             assert fleet.ready_total == directory.up == sum(e["status"] == "up" for e in now.values())
             assert fleet.subset == world.engine._subset
             assert fleet.candidates.keys() == set(world.engine._backends.values())
-            held = {world.known[n]: b.info.state is EndpointState.READY for n, b in fleet.candidates.items()}
+            held = {world.known[n]: b.entry.state is EndpointState.READY for n, b in fleet.candidates.items()}
             assert held == {n: now[n]["status"] == "up" for n in held}
             ready = {n for n, e in now.items() if e["status"] == "up"}
             assert ready & held.keys() == {n for n in ready if world.engine._holds(n)}
--- a/tests/test_net_start_times.py
+++ b/tests/test_net_start_times.py
@@ -17,7 +17,7 @@
 from quota_ingress.net.engine.engine import Engine, _hash_key
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
-from quota_ingress.policy.endpoint_set import SLOW_START_BUDGET_FRACTION
+from quota_ingress.policy.slow_start import SLOW_START_BUDGET_FRACTION
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
 from tests.test_net_main import ask, config, listens, start
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -78,7 +78,7 @@
 
 def test_of_a_long_list_one_of_thousands_of_gateways_holds_hundreds_and_keeps_to_some_dozens() -> None:
     g = told(MANY)
-    own, held = {b.info.id for b in g.endpoints.preferred.members}, set(g.endpoints.candidates)
+    own, held = {b.entry.id for b in g.endpoints.preferred.members}, set(g.endpoints.candidates)
     assert (
         MIN_PREFERRED_WIDE / 2 < len(own) < 3 * MIN_PREFERRED_WIDE
         and MIN_CANDIDATES / 2 < len(held) < 3 * MIN_CANDIDATES
@@ -149,7 +149,7 @@
         and a.ready_total == b.ready_total
         and a.subset == b.subset
     )
-    assert {n: x.info for n, x in a.candidates.items()} == {n: x.info for n, x in b.candidates.items()}
+    assert {n: x.entry for n, x in a.candidates.items()} == {n: x.entry for n, x in b.candidates.items()}
     for mine, other in ((a.ready, b.ready), (a.preferred, b.preferred)):
         assert mine.positions.keys() == other.positions.keys() and len(mine) == len(mine.positions)
         assert all(mine.members[at] is a.candidates[n] for n, at in mine.positions.items())
