--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -27,7 +27,7 @@
 from quota_ingress.net.discovery.watch import Discovery
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MemoryBudget
 from quota_ingress.net.lifecycle.upgrade import Handover
@@ -168,7 +168,7 @@
             size,
             within,
             self._engine.directory,
-            self._engine.trace,
+            self._engine.event_log,
         )
         return made
 
@@ -192,7 +192,7 @@
         """`until`: the moment of the loop's clock up to which a file that cannot be read is tried again;
         None: this is the first try.
         """
-        trace, loop = self._engine.trace, asyncio.get_running_loop()
+        trace, loop = self._engine.event_log, asyncio.get_running_loop()
         until = until or loop.time() + REREAD_WITHIN
         if self._reread:
             self._reread.cancel()
@@ -240,7 +240,7 @@
                         "packed": packed,
                     }
                 )
-            self._listings.listed(listing)
+            self._listings.apply_list(listing)
 
     def listed_elsewhere(self, change: dict[str, Any]) -> None:
         """What another process of this ingress passes on, if it was told by the same discovery."""
@@ -295,13 +295,12 @@
         names, limits = SettingsIndex(config.settings, config.raw), config.settings.limits
         loop, gateway = asyncio.get_running_loop(), Gateway(config.settings, config.seed)
         self.trace = EventLog.from_environment()
-        self.engine = Engine(gateway, config.settings, names, loop, clock.now, self.trace)
         self.room = room = MemoryBudget(config.memory_mb)
         size, wait = config.settings.fleet_size, limits.connect_timeout
         self.backends = UpstreamClient(sockets.backends, config.conn_idle, wait, room, size, self.trace)
-        self.engine.upstream = self.backends
+        self.engine = Engine(gateway, config.settings, names, self.backends, loop, clock.now, self.trace)
         self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, self.engine.directory)
-        self.engine.restored_at = self.maintenance.put_back_at
+        self.engine.endpoints.restored_at = self.maintenance.restarted_at
         self.listener = Listener(self.engine, sockets, clock.now, room)
         self.sources: Sources | None = None
         self.admin = Admin(self, self._callers)
@@ -323,7 +322,7 @@
         told = await self.handover.find(self._take_up) if self.handover else None
         known, self._told, self._known = self._told or self._known, None, None
         if known:
-            self.maintenance.listed(known, ListKind.CACHED)
+            self.maintenance.apply_list(known, ListKind.CACHED)
         pass_on = self.handover.pass_on if self.handover else None
         index = known.index if known else None
         self.sources = Sources(self.engine, self.maintenance, config, index, pass_on)
@@ -380,19 +379,19 @@
     def _take_up(self, told: dict[str, Any]) -> None:
         try:
             self.clock.adopt(int(told.get("clock", self.clock.base)))  # the version before tells none
-            self._told = self.maintenance.take_up(told)
+            self._told = self.maintenance.restore(told)
             self.listener.drain(bool(told["drained"]))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("handover: what the other process tells cannot be read: %r", error)
 
     def parts(self) -> Iterable[dict[str, Any]]:
-        return self.maintenance.parts()
+        return self.maintenance.entry_batches()
 
     def take_part(self, part: dict[str, Any]) -> None:
-        self.maintenance.take_part(part)
+        self.maintenance.restore_entries(part)
 
     def described(self) -> dict[str, Any]:
-        return self.maintenance.described() | {"drained": self.listener.draining, "clock": self.clock.base}
+        return self.maintenance.snapshot() | {"drained": self.listener.draining, "clock": self.clock.base}
 
     def hand_over(self) -> dict[str, Any]:
         log.info("handover: another process accepts from now on")
@@ -426,7 +425,7 @@
         if "drain" in note:
             self.listener.drain(bool(note["drain"]))
         else:
-            self.maintenance.noted(str(note["backend"]), bool(note["out"]))
+            self.maintenance.apply_operator_call(str(note["backend"]), bool(note["out"]))
 
     def listed_elsewhere(self, change: dict[str, Any]) -> None:
         if self.sources is None:
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -23,16 +23,16 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
 from quota_ingress.net.lifecycle.upgrade import NAME, Handover
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
-from quota_ingress.policy.customer_quota import counter_name
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.lease import counter_name
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, answers, entry, read_answer, request
-from tests.test_net_main import ask, config, listens, start
+from tests.process_helpers import ask, config, listens, start
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -326,7 +326,7 @@
     lines = {"answer": state}, {"note": {"backend": "a", "out": True}}, {"note": {"drain": True}}
     new = Process()
     made = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: None)
-    new.noted = lambda note: made.noted("a", True) if "backend" in note else None  # type: ignore[method-assign]
+    new.noted = lambda note: made.apply_operator_call("a", True) if "backend" in note else None  # type: ignore[method-assign]
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
@@ -334,8 +334,8 @@
 
     server = await asyncio.start_unix_server(answer, tmp_path / NAME)
     coming = Handover(new, str(tmp_path))
-    assert await coming.find(made.take_up) == state
-    assert made.out == {"a"}
+    assert await coming.find(made.restore) == state
+    assert made.offline == {"a"}
     coming.stop()
     server.close()
 
@@ -371,24 +371,24 @@
     heard: list[Any] = []
     old = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: heard.append(listing))
     made = OperatorOverrides(lambda: 9_000_000, lambda listing, kind: heard.append(listing))
-    listing = made.take_up(
+    listing = made.restore(
         {"listing": {"index": 0, "snapshot": True, "endpoints": []}, "out": [], "back": {}, "gone": []}
     )
     listing.packed = {e.name: e.packed() for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))}
-    old.listed(listing)
+    old.apply_list(listing)
     old.take_offline("a")
     old.take_offline("b")
     old.put_online("b")
-    for part in old.parts():  # as it comes through the channel
-        made.take_part(json.loads(json.dumps(part)))
-    made.listed(made.take_up(json.loads(json.dumps(old.described()))))
+    for part in old.entry_batches():  # as it comes through the channel
+        made.restore_entries(json.loads(json.dumps(part)))
+    made.apply_list(made.restore(json.loads(json.dumps(old.snapshot()))))
     told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
-    made.noted("a", out=False)
-    assert heard[-1].entries[0].status == "up" and not made.out
+    made.apply_operator_call("a", out=False)
+    assert heard[-1].entries[0].status == "up" and not made.offline
     with pytest.raises(ValueError):
-        made.take_up(old.described())  # the list itself did not come
+        made.restore(old.snapshot())  # the list itself did not come
 
 
 def lease(gateway: Gateway, now: int, number: int) -> tuple[list[Action], float]:
@@ -411,14 +411,17 @@
     for gateway in (old, new):
         listed(gateway, now)
     number = 0
-    while not (left := old.accounts[7].leased_units if number else 0.0):
+    while not (left := old.admission.customers[7].bucket.leased_units if number else 0.0):
         number, now = number + 1, now + 100_000
         lease(old, now, number)
         assert number < 50
     old.endpoints.candidates[1].concurrency_limit = 9.0
     carried = old.hand_over()
     new.restore(carried)
-    assert new.accounts[7].leased_units == left and old.accounts[7].leased_units == 0
+    assert (
+        new.admission.customers[7].bucket.leased_units == left
+        and old.admission.customers[7].bucket.leased_units == 0
+    )
     assert new.endpoints.candidates[1].concurrency_limit == 9.0
     actions, asked = lease(new, now, 1)
     assert asked == 0 and any(isinstance(a, SendAttempt) for a in actions)  # from the lease
@@ -430,13 +433,9 @@
         def call_later(self, *_: object) -> Any: ...
 
     def engine() -> Engine:
-        made = Engine(
-            Gateway(SETTINGS, 1), SETTINGS, SettingsIndex(SETTINGS, RAW), Loop(), lambda: 1_000_000_000
-        )
-        made.upstream = type(
-            "None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None}
-        )()
-        return made
+        upstream = type("None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None})()
+        index = SettingsIndex(SETTINGS, RAW)
+        return Engine(Gateway(SETTINGS, 1), SETTINGS, index, upstream, Loop(), lambda: 1_000_000_000)
 
     whole = json.loads(json.dumps(engine().hand_over()))
     engine().restore(whole)
@@ -450,7 +449,7 @@
     odd = [account | {"plan": 9}, account | {"spread": 0}, account | {"sums": [1.0]}, account]
     kept = engine()
     kept.restore(whole | {"accounts": odd})
-    assert len(kept._gateway.accounts) == 1  # type: ignore[attr-defined]
+    assert len(kept._policy.admission.customers) == 1  # type: ignore[attr-defined]
 
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
@@ -523,10 +522,10 @@
     old, new = Ingress(read_config(str(path), env)), Ingress(read_config(str(path), env))
     top = old.listener.top
     await old.start()
-    old.engine._post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
+    old.engine.post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
     assert old.listener.top < top and new.listener.top < top
-    assert 7 in new.engine._gateway.accounts  # type: ignore[attr-defined]
+    assert 7 in new.engine._policy.admission.customers  # type: ignore[attr-defined]
     assert not old.ready() and old.listener.handed and not new.listener.handed
     async with asyncio.timeout(10):
         await old.stopping.wait()  # it has nothing left
