--- a/tests/support/fake_network.py
+++ b/tests/support/fake_network.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.engine.requests import ParsedRequest
