--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -101,17 +101,17 @@
     def on_arrival(self, request: Request) -> None:
         """Counts a new request as demand of its customer, and decides on it."""
         event = request.event
-        request.account.record_arrival(self._requests.now, event.units, event.is_retry)
+        request.quota.record_arrival(self._requests.now, event.units, event.is_retry)
         self._admit(request)
 
     def on_timer(self, request: Request) -> None:
         """Decides on a request that was deferred until the counter may be called."""
-        if request not in request.account.waiting:
+        if request not in request.quota.waiting:
             self._admit(request)
 
     def _admit(self, request: Request, answered: bool = False) -> None:
         """Decides on a request; `answered`: the counter's answer to its lease has just come."""
-        quota = request.account
+        quota = request.quota
         now = self._requests.now
         if quota.plan.max_in_flight and quota.in_flight >= quota.plan.max_in_flight:
             self._reject_or_defer(request)
@@ -135,7 +135,7 @@
 
     def _admit_without_counter(self, request: Request) -> None:
         """Decides by the local allowance; by a draw where that is less than the request."""
-        quota = request.account
+        quota = request.quota
         units = request.event.units
         now = self._requests.now
         fraction = quota.admitted_fraction_without_counter(now, units, request.event.is_retry)
@@ -153,11 +153,11 @@
         Where the plan earns more than it costs beyond the quota, the request is sent instead while the fleet
         has capacity to spare.
         """
-        plan = request.account.plan
+        plan = request.quota.plan
         if plan.over_quota_earnings > plan.over_quota_cost and self._fleet_usage() < OPTIONAL_WORK_MAX_USAGE:
             self._requests.send(request)
         else:
-            retry_after = request.account.book_retry(self._requests.now, request.event.units)
+            retry_after = request.quota.book_retry(self._requests.now, request.event.units)
             self._requests.reject(request, retry_after)
 
     def _call(self, call: CounterCall) -> None:
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -83,7 +83,7 @@
             return Verdict.REQUEST_LEASE
         if self._is_hardly_used(now, units, available):
             return Verdict.ADMIT  # the next call reports it
-        may_wait_until = request.came + MAX_DEFER_FRACTION * request.cls.latency_objective
+        may_wait_until = request.arrived_at + MAX_DEFER_FRACTION * request.request_class.latency_objective
         if success_rate > LIKELY_SUCCESS_RATE and now < may_wait_until:
             return Verdict.DEFER
         return Verdict.WITHOUT_COUNTER
--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -10,6 +10,7 @@
 from quota_ingress.policy.outlier import SlowdownTracker
 from quota_ingress.policy.settings import Settings
 from quota_ingress.policy.slow_start import SlowStart
+from quota_ingress.policy.snapshot import EndpointSnapshot
 from quota_ingress.policy.subsetting import assign_subset
 
 
@@ -85,6 +86,22 @@
         for number in named if self.subset == previous else named | dict.fromkeys(self.listed_endpoints):
             self._reconcile(number)
 
+    def hand_over(self) -> tuple[EndpointSnapshot, ...]:
+        """Returns what has been learned of each endpoint."""
+        return tuple(
+            EndpointSnapshot(number, endpoint.concurrency_limit, tuple(endpoint.slowdown_by_class))
+            for number, endpoint in self.candidates.items()
+        )
+
+    def restore(self, snapshots: tuple[EndpointSnapshot, ...]) -> None:
+        """Takes over what another process has learned of the endpoints that are candidates here."""
+        class_count = len(self.slowdowns.mean_slowdowns)
+        for snapshot in snapshots:
+            endpoint = self.candidates.get(snapshot.id)
+            if endpoint and len(snapshot.slowdown_by_class) == class_count:
+                endpoint.concurrency_limit = max(self.limits.minimum, snapshot.concurrency_limit)
+                endpoint.slowdown_by_class = list(snapshot.slowdown_by_class)
+
     def _register(self, number: int, entry: ListedEndpoint | None) -> None:
         """Puts an entry into the list, or takes it out."""
         previous = self.listed_endpoints.get(number)
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -1,4 +1,10 @@
-"""The life of a request: from its arrival over its attempts to its final answer."""
+"""The life of a request: from its arrival over its attempts to its final answer.
+
+`Gateway.handle` takes one event and returns the actions that its caller has to carry out. It does no I/O and
+reads no clock; equal seeds and events lead to equal actions.
+"""
+
+from __future__ import annotations
 
 import math
 import random
@@ -14,7 +20,6 @@
 )
 from quota_ingress.policy.admission import OPTIONAL_WORK_MAX_USAGE, AdmissionController
 from quota_ingress.policy.durations import SECOND
-from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
 from quota_ingress.policy.endpoint_set import EndpointSet
 from quota_ingress.policy.events import (
@@ -30,55 +35,61 @@
 )
 from quota_ingress.policy.load_balancer import LoadBalancer
 from quota_ingress.policy.request_state import Attempt, Request
-from quota_ingress.policy.settings import DeduplicationScope, Idempotency, Settings
-from quota_ingress.policy.snapshot import EndpointSnapshot, PolicySnapshot
+from quota_ingress.policy.retry_policy import RetryPolicy, is_harmless_to_repeat
+from quota_ingress.policy.settings import RequestClass, Settings
+from quota_ingress.policy.snapshot import PolicySnapshot
+
+SWEEP_INTERVAL = SECOND  # us between two looks for idle customers
+MIN_LATE_WEIGHT = 0.5  # of a late answer, for which a request is worth its work up to the deadline
 
-LAST_CHANCE = 0.5  # of the usual latency: a further attempt with less time left is work for nothing
+
+class InvalidSettingsError(ValueError):
+    """Settings that no gateway can work with."""
 
 
 class Gateway:
+    """The decisions of one gateway, event by event."""
+
     def __init__(self, settings: Settings, seed: int) -> None:
-        limits = settings.limits
-        plans = all(0 <= p.rate < math.inf and 0 <= p.burst < math.inf for p in settings.plans)
-        classes = settings.classes and all(
-            c.latency_objective > 0 and c.deadline > 0 for c in settings.classes
-        )
-        if not (plans and classes and settings.fleet_size > 0 < limits.max_attempts):
-            raise ValueError("settings: classes, plans, fleet_size or limits make no sense")
+        """Makes a gateway without endpoints.
+
+        Raises:
+            InvalidSettingsError: A value of the settings is out of its range.
+        """
+        _check(settings)
         rng = random.Random(seed)
         self.settings = settings
+        self.now = 0  # us; the moment of the event that is handled
+        self.actions: list[Action] = []  # decided so far in answer to it
+        self.requests: dict[int, Request] = {}  # without a final answer
+        self.attempts_in_flight: dict[tuple[int, int], Request] = {}  # by request and attempt number
         self.endpoints = EndpointSet(settings, rng)
         self.load_balancer = LoadBalancer(settings, self.endpoints, rng)
-        self.requests: dict[int, Request] = {}
-        self.flying: dict[tuple[int, int], tuple[Request, Attempt]] = {}
+        self.retry_policy = RetryPolicy(settings, self.endpoints.slowdowns)
         self.admission = AdmissionController(settings, rng, self.endpoints.utilization, self)
-        self.swept_at = self.now = 0
-        self.actions: list[Action] = []
+        self._swept_at = 0  # us
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        self.now, self.actions = now, []
+        """Takes one event at the moment `now` (us); returns what is to be done, in order."""
+        self.now = now
+        self.actions = []
         match event:
             case RequestArrived():
-                self.arrived(event)
+                self._on_request(event)
             case AttemptEnded():
-                self.attempt_ended(event)
+                self._on_attempt_ended(event)
             case TimerFired(token):
-                if (request := self.requests.get(token)) and not request.attempts:
-                    self.admission.on_timer(request)
-                elif request and self.endpoints.utilization() < OPTIONAL_WORK_MAX_USAGE:
-                    self.send(request)  # a second copy, only while backends have room for it
+                self._on_timer(token)
             case CounterAnswered():
                 self.admission.on_counter_answer(event)
-            case EndpointsListed(kind):
-                self.endpoints.on_endpoints_listed(event)
-                if self.settings.must_subscribe and kind in (ListKind.FAILED, ListKind.CACHED):
-                    self.actions.append(SubscribeToEndpoints(True))
-            case ClientDisconnected(number):
-                self.finish(number)
-            case StreamStarted(number, attempt):
-                self.finish(number, but=attempt)
-        if now - self.swept_at > SECOND:  # idle accounts go once their store must be full again
-            self.swept_at = now
+            case EndpointsListed():
+                self._on_endpoints_listed(event)
+            case ClientDisconnected(request):
+                self._finish(request)
+            case StreamStarted(request, attempt):
+                self._finish(request, kept_attempt=attempt)
+        if now - self._swept_at > SWEEP_INTERVAL:
+            self._swept_at = now
             self.admission.discard_idle_customers()
         return self.actions
 
@@ -88,149 +99,165 @@
         Leases and unreported units are no longer this gateway's: what it still has to finish asks the counter
         anew.
         """
-        endpoints = self.endpoints
         return PolicySnapshot(
-            baseline_latencies=tuple(endpoints.slowdowns.baseline_latencies),
-            mean_slowdowns=tuple(endpoints.slowdowns.mean_slowdowns),
-            fleet_headroom=endpoints.limits.fleet_headroom,
+            baseline_latencies=tuple(self.endpoints.slowdowns.baseline_latencies),
+            mean_slowdowns=tuple(self.endpoints.slowdowns.mean_slowdowns),
+            fleet_headroom=self.endpoints.limits.fleet_headroom,
             counter_congestion=self.admission.call_pacing.congestion,
             customers=self.admission.hand_over(),
-            endpoints=tuple(
-                EndpointSnapshot(number, endpoint.concurrency_limit, tuple(endpoint.slowdown_by_class))
-                for number, endpoint in endpoints.candidates.items()
-            ),
+            endpoints=self.endpoints.hand_over(),
         )
 
     def restore(self, snapshot: PolicySnapshot) -> None:
         """Goes on where another process stopped; what does not fit these settings is left out."""
-        settings, endpoints = self.settings, self.endpoints
-        class_count = len(settings.classes)
+        class_count = len(self.settings.classes)
         if len(snapshot.baseline_latencies) == len(snapshot.mean_slowdowns) == class_count:
-            endpoints.slowdowns.restore(snapshot.baseline_latencies, snapshot.mean_slowdowns)
-            endpoints.limits.fleet_headroom = max(0.0, snapshot.fleet_headroom)
+            self.endpoints.slowdowns.restore(snapshot.baseline_latencies, snapshot.mean_slowdowns)
+            self.endpoints.limits.fleet_headroom = max(0.0, snapshot.fleet_headroom)
             self.admission.call_pacing.set_congestion(snapshot.counter_congestion)
-        for learned in snapshot.endpoints:
-            endpoint = endpoints.candidates.get(learned.id)
-            if endpoint and len(learned.slowdown_by_class) == class_count:
-                endpoint.concurrency_limit = max(endpoints.limits.minimum, learned.concurrency_limit)
-                endpoint.slowdown_by_class = list(learned.slowdown_by_class)
+        self.endpoints.restore(snapshot.endpoints)
         self.admission.restore(snapshot.customers)
 
-    def arrived(self, event: RequestArrived) -> None:
-        s = self.settings
-        valid = (
-            event.request_class < len(s.classes) and event.plan < len(s.plans) and 0 <= event.units < math.inf
-        )
-        if event.request in self.requests or not valid or event.time_left <= 0:
-            self.actions += [] if event.request in self.requests else [Reject(event.request)]
+    def send(self, request: Request) -> bool:
+        """Sends the request's next attempt, if it may have one and an endpoint has capacity.
+
+        Returns:
+            Whether an attempt was sent. If it would have been the first one, the request has been rejected
+            otherwise.
+        """
+        event = request.event
+        quota = request.quota
+        is_first = not request.attempts
+        may_send = self.retry_policy.has_attempt_left(request, self.now)
+        if is_first and quota.plan.ceiling_rate and quota.ceiling.units < event.units:
+            may_send = False  # a ceiling holds whatever the counter says
+        endpoint = None
+        if may_send:
+            endpoint = self.load_balancer.choose(
+                self.now,
+                event.request_class,
+                lambda candidate: self.retry_policy.may_send_to(candidate, request, self.now),
+            )
+        if endpoint is None:
+            if is_first:
+                self.reject(request, self.admission.retry_after)
+            return False
+        if is_first:
+            quota.ceiling.units -= event.units
+        quota.in_flight += 1
+        timing = self.retry_policy.timing(request, self.now)
+        if timing.hedge_after is not None:
+            self.actions.append(SetTimer(event.request, self.now + timing.hedge_after))
+        self.actions.append(SendAttempt(event.request, endpoint.entry.id, max(1, timing.timeout)))
+        self.attempts_in_flight[event.request, len(request.attempts)] = request
+        request.attempts.append(Attempt(endpoint, self.now))
+        return True
+
+    def reject(self, request: Request, retry_after: int) -> None:
+        """Answers the request with a rejection; `retry_after` in us, 0 for no advice."""
+        self._answer(request, Reject(request.event.request, retry_after))
+
+    def _on_request(self, event: RequestArrived) -> None:
+        if event.request in self.requests:
+            return
+        if not self._is_valid(event):
+            self.actions.append(Reject(event.request))
             return
-        account = self.admission.quota_for(event)
-        cls = s.classes[event.request_class]
-        span = (
-            cls.deadline if cls.late_weight >= 0.5 or cls.objective_stretch > 0 else cls.latency_objective
-        )  # worth a wait
-        request = Request(event, cls, account, self.now + min(event.time_left, span), self.now)
+        request_class = self.settings.classes[event.request_class]
+        request = Request(
+            event,
+            request_class,
+            self.admission.quota_for(event),
+            arrived_at=self.now,
+            useful_until=self.now + min(event.time_left, _useful_time(request_class)),
+        )
         self.requests[event.request] = request
         self.admission.on_arrival(request)
 
-    def may_send(self, request: Request, backend: Endpoint) -> bool:
-        """What may have run is repeated only if safe, or keyed within the scope and memory of its keys."""
-        ran, cls, alone = request.ran(), request.cls, not self.settings.limits.may_hedge
-        if any(a.out and (a.backend is backend or alone) for a in request.attempts):
-            return False
-        if ran is None or cls.idempotency is Idempotency.IDEMPOTENT:
-            return True
-        here, there, sent, tick = backend.entry, ran.backend.entry, ran.sent_at, self.settings.tick
-        same = {
-            DeduplicationScope.ALL: True,
-            DeduplicationScope.ZONE: here.zone == there.zone,
-            DeduplicationScope.CELL: here.cell == there.cell,
-        }
+    def _is_valid(self, event: RequestArrived) -> bool:
         return (
-            cls.idempotency is Idempotency.WITH_KEY
-            and same[cls.deduplication_scope]
-            and self.now + tick < sent + cls.deduplication_window
-        )
-
-    def send(self, request: Request) -> bool:
-        event, account, cls, first = request.event, request.account, request.cls, not request.attempts
-        least = (
-            0
-            if first
-            else int(LAST_CHANCE * self.endpoints.slowdowns.baseline_latencies[event.request_class])
+            event.request_class < len(self.settings.classes)
+            and event.plan < len(self.settings.plans)
+            and 0 <= event.units < math.inf
+            and event.time_left > 0
         )
-        over = len(request.attempts) >= self.settings.limits.max_attempts or self.now + least >= request.cut
-        if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
-            over = over or account.ceiling.units < event.units
-        backend = (
-            None
-            if over
-            else self.load_balancer.choose(self.now, event.request_class, lambda b: self.may_send(request, b))
-        )
-        if backend is None:
-            if first:
-                self.end(request, Reject(event.request, self.admission.retry_after))
-            return False
-        account.ceiling.units -= event.units if first else 0.0
-        number, timeout = len(request.attempts), request.cut - self.now
-        patience = int(
-            max(
-                6
-                * (
-                    self.endpoints.slowdowns.baseline_latencies[event.request_class]
-                    or cls.latency_objective / 6
-                ),
-                cls.latency_objective / 2,
-            )
-        )  # older: stuck
-        more = (
-            cls.idempotency is not Idempotency.NOT_IDEMPOTENT
-            and number + 1 < self.settings.limits.max_attempts
-        )
-        if more and self.settings.limits.may_hedge and patience < timeout:
-            self.actions.append(SetTimer(event.request, self.now + patience))
-        elif more and timeout > 1.5 * patience:
-            timeout = patience
-        self.actions.append(SendAttempt(event.request, backend.entry.id, max(1, timeout)))
-        request.attempts.append(Attempt(backend, self.now))
-        self.flying[event.request, number] = (request, request.attempts[-1])
-        account.in_flight += 1
-        return True
 
-    def attempt_ended(self, event: AttemptEnded) -> None:
-        if not (flown := self.flying.pop((event.request, event.attempt), None)):
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        request = self.attempts_in_flight.pop((event.request, event.attempt), None)
+        if request is None:
             return
-        request, attempt = flown
-        account, cls = request.account, request.cls
-        account.in_flight -= 1
-        attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
+        attempt = request.attempts[event.attempt]
+        attempt.in_flight = False
+        attempt.may_have_run = event.outcome not in NEVER_RAN
+        request.quota.in_flight -= 1
         self.load_balancer.on_attempt_ended(
-            attempt.backend, self.now, request.event.request_class, event.outcome, event.latency
+            attempt.endpoint, self.now, request.event.request_class, event.outcome, event.latency
         )
-        self.load_balancer.on_load_report(attempt.backend, self.now, event.load)
+        self.load_balancer.on_load_report(attempt.endpoint, self.now, event.load)
         if self.settings.settles_after_response and event.outcome is Outcome.OK and event.settled_units > 0:
-            account.settle(event.settled_units, request.event.units)
+            request.quota.settle(event.settled_units, request.event.units)
         if event.request_ended:
-            self.finish(event.request)
-        if event.request not in self.requests or any(a.out for a in request.attempts) or self.send(request):
+            self._finish(event.request)
+        elif event.request in self.requests:
+            self._retry_or_answer(request)
+
+    def _retry_or_answer(self, request: Request) -> None:
+        """Goes on with a request of which an attempt has failed."""
+        if any(attempt.in_flight for attempt in request.attempts) or self.send(request):
             return
-        keyed = cls.idempotency is Idempotency.WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
-        harmless = keyed or cls.idempotency is Idempotency.IDEMPOTENT or request.ran() is None
-        self.end(request, Reject(event.request) if harmless else Fail(event.request))
+        number = request.event.request
+        self._answer(request, Reject(number) if is_harmless_to_repeat(request) else Fail(number))
 
-    def reject(self, request: Request, retry_after: int) -> None:
-        """Answers the request with a rejection; `retry_after` in us, 0 for no advice."""
-        self.end(request, Reject(request.event.request, retry_after))
+    def _on_timer(self, token: int) -> None:
+        """Asks the counter for a deferred request, or hedges one while the fleet has capacity to spare."""
+        request = self.requests.get(token)
+        if request is None:
+            return
+        if not request.attempts:
+            self.admission.on_timer(request)
+        elif self.endpoints.utilization() < OPTIONAL_WORK_MAX_USAGE:
+            self.send(request)
+
+    def _on_endpoints_listed(self, event: EndpointsListed) -> None:
+        self.endpoints.on_endpoints_listed(event)
+        if self.settings.must_subscribe and event.kind in (ListKind.FAILED, ListKind.CACHED):
+            self.actions.append(SubscribeToEndpoints(True))
 
-    def end(self, request: Request, answer: Action) -> None:
+    def _answer(self, request: Request, answer: Reject | Fail) -> None:
         self.actions.append(answer)
-        self.finish(request.event.request)
+        self._finish(request.event.request)
 
-    def finish(self, number: int, but: int = -1) -> None:
-        """The request is over here; attempts still out are stopped where that is allowed."""
-        if not (request := self.requests.pop(number, None)):
+    def _finish(self, number: int, kept_attempt: int | None = None) -> None:
+        """Forgets a request that has its answer; its other attempts are cancelled where that is allowed."""
+        request = self.requests.pop(number, None)
+        if request is None:
             return
-        request.account.waiting = [r for r in request.account.waiting if r is not request]
-        for attempt in range(len(request.attempts) if self.settings.limits.may_cancel else 0):
-            if attempt != but and request.attempts[attempt].out:
-                self.actions.append(CancelAttempt(number, attempt))
+        if request.quota.waiting:
+            request.quota.waiting = [other for other in request.quota.waiting if other is not request]
+        if not self.settings.limits.may_cancel:
+            return
+        for index, attempt in enumerate(request.attempts):
+            if attempt.in_flight and index != kept_attempt:
+                self.actions.append(CancelAttempt(number, index))
+
+
+def _useful_time(request_class: RequestClass) -> int:
+    """Returns the microseconds from a request's arrival in which an answer is worth its work."""
+    if request_class.late_weight >= MIN_LATE_WEIGHT or request_class.objective_stretch > 0:
+        return request_class.deadline
+    return request_class.latency_objective
+
+
+def _check(settings: Settings) -> None:
+    if settings.fleet_size <= 0:
+        raise InvalidSettingsError(f"settings: fleet_size is {settings.fleet_size}, not above 0")
+    if settings.limits.max_attempts <= 0:
+        raise InvalidSettingsError(f"settings: max_attempts is {settings.limits.max_attempts}, not above 0")
+    if not settings.classes:
+        raise InvalidSettingsError("settings: no request classes")
+    for number, request_class in enumerate(settings.classes):
+        if request_class.latency_objective <= 0 or request_class.deadline <= 0:
+            raise InvalidSettingsError(f"settings: class {number}: objective or deadline is not above 0")
+    for number, plan in enumerate(settings.plans):
+        if not (0 <= plan.rate < math.inf and 0 <= plan.burst < math.inf):
+            raise InvalidSettingsError(f"settings: plan {number}: rate or burst is below 0 or not finite")
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -104,7 +104,7 @@
             return Verdict.ADMIT
         if answered or bucket.remaining(now) + bucket.leased_units < units:
             return Verdict.OVER_QUOTA
-        if pacing.answer_would_be_late(now, request.cut):
+        if pacing.answer_would_be_late(now, request.useful_until):
             return Verdict.WITHOUT_COUNTER
         if self.lease_requested:
             return Verdict.AWAIT_LEASE
--- a/quota_ingress/policy/request_state.py
+++ b/quota_ingress/policy/request_state.py
@@ -15,20 +15,28 @@
 
 @dataclass(slots=True)
 class Attempt:
-    backend: Endpoint
-    sent_at: int
-    out: bool = True
-    may_have_run: bool = True  # until an outcome proves otherwise
+    """A request that was forwarded to an endpoint."""
+
+    endpoint: Endpoint
+    sent_at: int  # us
+    in_flight: bool = True
+    may_have_run: bool = True  # until its outcome proves otherwise
 
 
 @dataclass(slots=True)
 class Request:
+    """A request without its final answer, or with attempts that are still in flight."""
+
     event: RequestArrived
-    cls: RequestClass
-    account: CustomerQuota
-    cut: int  # no answer after this is worth its work
-    came: int
-    attempts: list[Attempt] = field(default_factory=list)
-
-    def ran(self) -> Attempt | None:
-        return next((a for a in self.attempts if a.may_have_run), None)
+    request_class: RequestClass
+    quota: CustomerQuota
+    arrived_at: int  # us
+    useful_until: int  # us; a later answer is not worth its work
+    attempts: list[Attempt] = field(default_factory=list)  # in the order in which they were sent
+
+    def first_run(self) -> Attempt | None:
+        """Returns the first attempt that may have run; None where none of them can have had any effect."""
+        for attempt in self.attempts:
+            if attempt.may_have_run:
+                return attempt
+        return None
--- a/tests/test_counted_quota.py
+++ b/tests/test_counted_quota.py
@@ -118,7 +118,7 @@
     gateway = wide_gateway(30)
     (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=30)), AddToCounter)
     gateway.handle(SECOND, CounterAnswered(call.name, Outcome.TIMEOUT, 0.0, 30_000))  # sent, by its even part
-    assert gateway.flying
+    assert gateway.attempts_in_flight
     gateway.admission.call_pacing.next_call_at = 0
     (call,) = of(gateway.handle(SECOND, arrival(2, gateway_count=30)), AddToCounter)
     taken = call.amount / math.exp(SECOND % (8 * 2 * SECOND) / (2 * SECOND))
--- a/tests/test_quiescence.py
+++ b/tests/test_quiescence.py
@@ -151,7 +151,7 @@
         play.step()
     play.rest()
     gateway = play.gateway
-    assert not gateway.requests and not gateway.flying and not gateway.admission.pending_calls
+    assert not gateway.requests and not gateway.attempts_in_flight and not gateway.admission.pending_calls
     assert gateway.endpoints.in_flight == 0 and not any(
         b.in_flight for b in gateway.endpoints.candidates.values()
     )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -191,5 +191,5 @@
     for event in [*reversed(late), *strays, *late]:
         for action in g.handle(5 * SECOND, event):
             assert not isinstance(action, SendAttempt | Reject | Fail)
-    assert not g.requests and not g.flying and g.endpoints.in_flight == 0
+    assert not g.requests and not g.attempts_in_flight and g.endpoints.in_flight == 0
     assert all(count == 1 for count in ends.values())
