--- a/quota_ingress/policy/endpoint_list.py
+++ b/quota_ingress/policy/endpoint_list.py
@@ -44,6 +44,4 @@
     kind: ListKind
     version: int
     endpoints: tuple[ListedEndpoint, ...]
-    ready_total: int = (
-        0  # ready endpoints in all, where only a part of the list is told; 0: as many as are told
-    )
+    ready_total: int = 0  # ready endpoints in all, where only a part of the list is told; 0: all are told
--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -73,15 +73,15 @@
         """
         is_whole = event.kind in (ListKind.FULL, ListKind.CACHED)
         named = dict.fromkeys(entry.id for entry in event.endpoints)
-        gone = [number for number in self.listed_endpoints if number not in named] if is_whole else []
-        for number in gone:
+        removed = [number for number in self.listed_endpoints if number not in named] if is_whole else []
+        for number in removed:
             self._register(number, None)
         for entry in event.endpoints:
             self._register(entry.id, entry)
         self.ready_total = event.ready_total or self.listed_ready
         previous = self.subset
         self.subset = assign_subset(self._gateway_index, self._fleet_size, self.ready_total, previous)
-        for number in gone:
+        for number in removed:
             self._reconcile(number)
         for number in named if self.subset == previous else named | dict.fromkeys(self.listed_endpoints):
             self._reconcile(number)
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -20,6 +20,7 @@
 )
 from quota_ingress.policy.admission import OPTIONAL_WORK_MAX_USAGE, AdmissionController
 from quota_ingress.policy.durations import SECOND
+from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
 from quota_ingress.policy.endpoint_set import EndpointSet
 from quota_ingress.policy.events import (
@@ -125,38 +126,44 @@
             Whether an attempt was sent. If it would have been the first one, the request has been rejected
             otherwise.
         """
-        event = request.event
-        quota = request.quota
-        is_first = not request.attempts
-        may_send = self.retry_policy.has_attempt_left(request, self.now)
-        if is_first and quota.plan.ceiling_rate and quota.ceiling.units < event.units:
-            may_send = False  # a ceiling holds whatever the counter says
-        endpoint = None
-        if may_send:
-            endpoint = self.load_balancer.choose(
-                self.now,
-                event.request_class,
-                lambda candidate: self.retry_policy.may_send_to(candidate, request, self.now),
-            )
+        endpoint = self._choose_endpoint(request)
         if endpoint is None:
-            if is_first:
+            if not request.attempts:
                 self.reject(request, self.admission.retry_after)
             return False
-        if is_first:
-            quota.ceiling.units -= event.units
-        quota.in_flight += 1
-        timing = self.retry_policy.timing(request, self.now)
-        if timing.hedge_after is not None:
-            self.actions.append(SetTimer(event.request, self.now + timing.hedge_after))
-        self.actions.append(SendAttempt(event.request, endpoint.entry.id, max(1, timing.timeout)))
-        self.attempts_in_flight[event.request, len(request.attempts)] = request
-        request.attempts.append(Attempt(endpoint, self.now))
+        self._start_attempt(request, endpoint)
         return True
 
     def reject(self, request: Request, retry_after: int) -> None:
         """Answers the request with a rejection; `retry_after` in us, 0 for no advice."""
         self._answer(request, Reject(request.event.request, retry_after))
 
+    def _choose_endpoint(self, request: Request) -> Endpoint | None:
+        """Returns the endpoint for the request's next attempt; None where there may be none."""
+        quota = request.quota
+        if not self.retry_policy.has_attempt_left(request, self.now):
+            return None
+        is_limited = quota.plan.ceiling_rate and not request.attempts
+        if is_limited and quota.ceiling.units < request.event.units:
+            return None  # the ceiling holds whatever the counter says
+        return self.load_balancer.choose(
+            self.now,
+            request.event.request_class,
+            lambda endpoint: self.retry_policy.may_send_to(endpoint, request, self.now),
+        )
+
+    def _start_attempt(self, request: Request, endpoint: Endpoint) -> None:
+        number = request.event.request
+        if not request.attempts:
+            request.quota.ceiling.units -= request.event.units
+        request.quota.in_flight += 1
+        timing = self.retry_policy.timing(request, self.now)
+        if timing.hedge_after is not None:
+            self.actions.append(SetTimer(number, self.now + timing.hedge_after))
+        self.actions.append(SendAttempt(number, endpoint.entry.id, max(1, timing.timeout)))
+        self.attempts_in_flight[number, len(request.attempts)] = request
+        request.attempts.append(Attempt(endpoint, self.now))
+
     def _on_request(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             return
--- a/quota_ingress/policy/outlier.py
+++ b/quota_ingress/policy/outlier.py
@@ -54,9 +54,9 @@
                 min(latency, MAX_BASELINE_STEP * baseline) - baseline
             )
         if outcome in COUNTED_OUTCOMES:
-            known = self.slowdown(endpoint, request_class, now)
+            average = self.slowdown(endpoint, request_class, now)
             endpoint.slowdown_by_class[request_class] = (
-                known * (1 - SLOWDOWN_WEIGHT) + slowdown * SLOWDOWN_WEIGHT
+                average * (1 - SLOWDOWN_WEIGHT) + slowdown * SLOWDOWN_WEIGHT
             )
             endpoint.last_outcome_at = now
             mean = self.mean_slowdowns[request_class]
--- a/quota_ingress/policy/retry_policy.py
+++ b/quota_ingress/policy/retry_policy.py
@@ -82,8 +82,8 @@
         """Returns the microseconds after which an attempt is slow."""
         objective = request.request_class.latency_objective
         baseline = self._slowdowns.baseline_latencies[request.event.request_class]
-        usual = SLOW_ATTEMPT_BASELINES * (baseline or objective / SLOW_ATTEMPT_BASELINES)
-        return int(max(usual, SLOW_ATTEMPT_OBJECTIVE_FRACTION * objective))
+        expected = baseline or objective / SLOW_ATTEMPT_BASELINES
+        return int(max(SLOW_ATTEMPT_BASELINES * expected, SLOW_ATTEMPT_OBJECTIVE_FRACTION * objective))
 
 
 def is_harmless_to_repeat(request: Request) -> bool:
--- a/quota_ingress/policy/slow_start.py
+++ b/quota_ingress/policy/slow_start.py
@@ -49,7 +49,7 @@
         warm_have_capacity = any(e.in_flight < max(1.0, e.concurrency_limit) for e in warm)
         budget = min(1.0, self._budget) if warm_have_capacity else self._budget
         mean_weight = sum(endpoint.entry.weight for endpoint in sample) / len(sample)
-        due: Endpoint | None = None
+        chosen: Endpoint | None = None
         for endpoint in sample:
             fraction = self.warmup_fraction(endpoint, now)
             if fraction >= 1:
@@ -57,13 +57,15 @@
             share = self._share(endpoint, fraction, mean_weight, now, request_class)
             credit = min(1.0, endpoint.slow_start_credit + share * self.deferred_requests)
             endpoint.slow_start_credit = credit + budget * share / len(sample)
-            if endpoint.slow_start_credit >= (due.slow_start_credit if due else 1.0):
-                due = endpoint
-        if due is None:
+            if endpoint.slow_start_credit >= (chosen.slow_start_credit if chosen else 1.0):
+                chosen = endpoint
+        if chosen is None:
             return None
-        due.slow_start_credit -= 1
-        has_capacity = due.in_flight < max(1.0, due.concurrency_limit * self.warmup_fraction(due, now))
-        return due if has_capacity else None
+        chosen.slow_start_credit -= 1
+        has_capacity = chosen.in_flight < max(
+            1.0, chosen.concurrency_limit * self.warmup_fraction(chosen, now)
+        )
+        return chosen if has_capacity else None
 
     def _share(
         self, endpoint: Endpoint, fraction: float, mean_weight: float, now: int, request_class: int
