--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,11 +5,9 @@
 import pytest
 
 from quota_ingress.policy.actions import Reject, SendAttempt
-from quota_ingress.policy.events import (
-    AttemptEnded,
-    Outcome,
-)
+from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.leased_quota import LeasedQuota
 from tests.helpers import (
     PLANS,
     SECOND,
@@ -26,16 +24,18 @@
 
 def test_retry_after_depends_on_the_capacity_of_the_ring() -> None:
     answers = []
-    for booked in (0.0, 2.0):
+    for capacity in (0.0, 2.0):
         gateway, counter = gateway_with_endpoints(), Counter()
         settle(gateway, 0, arrival(1), counter)
         quota = gateway.admission.customers[7]
-        quota.bucket.leased_units = quota.bucket.remaining_upper_bound = 0.0
+        assert isinstance(quota, LeasedQuota)
+        quota.bucket.leased_units = 0.0
+        quota.bucket.remaining_upper_bound = 0.0
         quota.refill_rate = 10.0
         quota.demand.rate = 0.0
         quota.book_retry(0, 1.0)
         for slot in quota.ring.slots:
-            slot.capacity = booked
+            slot.capacity = capacity
         answers.append(of(settle(gateway, 0, arrival(2), counter), Reject)[0].retry_after)
     assert answers == [0, 500_000]
 
@@ -51,40 +51,43 @@
 def test_over_quota_requests_are_served_where_the_plan_pays_and_the_fleet_has_capacity() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     sent = sum(len(of(settle(gateway, 0, arrival(n, plan=1), counter), SendAttempt)) for n in range(40))
-    assert 4 < sent <= 20  # past the burst of 4, but only on 0.6 of the bound of four times eight
+    assert 4 < sent <= 20  # past the burst of 4, but only up to 0.6 of the capacity of four times eight
 
 
 def test_cap_on_attempts_in_flight() -> None:
     gateway = gateway_with_endpoints()
-    out = [gateway.handle(0, arrival(n, plan=2)) for n in range(3)]
-    assert [len(of(a, SendAttempt)) for a in out] == [1, 1, 0] and of(out[2], Reject)
-    send = of(out[0], SendAttempt)[0]
+    decided = [gateway.handle(0, arrival(n, plan=2)) for n in range(3)]
+    assert [len(of(a, SendAttempt)) for a in decided] == [1, 1, 0] and of(decided[2], Reject)
+    send = of(decided[0], SendAttempt)[0]
     gateway.handle(9000, AttemptEnded(0, 0, send.endpoint, Outcome.OK, 9000, True))
     assert of(gateway.handle(9000, arrival(4, plan=2)), SendAttempt)
 
 
 def test_two_gateways_keep_the_hard_ceiling_through_restarts() -> None:
-    counter, sent = Counter(), []
-    for life in range(3):
+    counter = Counter()
+    sent = []
+    for run in range(3):
         pair = [gateway_with_endpoints(), gateway_with_endpoints()]
         for ms in range(0, 4000, 20):
-            now = life * 4 * SECOND + ms * 1000
+            now = run * 4 * SECOND + ms * 1000
             actions = settle(pair[ms // 20 % 2], now, arrival(now, plan=3), counter)
             sent += [now] * len(of(actions, SendAttempt))
-    level, last = 8.0, 0
+    remaining = 8.0
+    last_sent_at = 0
     for now in sent:
-        level, last = min(8.0, level + 4.0 * (now - last) / SECOND) - 1, now
-        assert level >= -0.001
+        remaining = min(8.0, remaining + 4.0 * (now - last_sent_at) / SECOND) - 1
+        last_sent_at = now
+        assert remaining >= -0.001
     assert len(sent) > 5
 
 
 @pytest.mark.parametrize("size", [1, 2, 350])
-@pytest.mark.parametrize(("first", "spread"), [(0, 0), (9999, 65535), (-5, -1), (0, 2**31)])
-def test_an_impossible_gateway_set_admits_no_more_than_a_burst(size: int, first: int, spread: int) -> None:
+@pytest.mark.parametrize(("first", "count"), [(0, 0), (9999, 65535), (-5, -1), (0, 2**31)])
+def test_an_impossible_gateway_set_admits_no_more_than_a_burst(size: int, first: int, count: int) -> None:
     gateway, counter = Gateway(settings(fleet_size=size), 1), Counter()
     gateway.handle(0, listed(backend(1), backend(2)))
     sent = 0
     for n in range(60):
-        event = arrival(n, first_gateway=first, gateway_count=spread)
+        event = arrival(n, first_gateway=first, gateway_count=count)
         sent += len(of(settle(gateway, 0, event, counter), SendAttempt))
     assert sent <= PLANS[0].burst
--- a/tests/test_borrowing_ring.py
+++ b/tests/test_borrowing_ring.py
@@ -14,11 +14,8 @@
     ring = BorrowingRing(slot_duration=500_000)
     assert [book(ring, 0) for _ in range(7)] == [500_000] * 6 + [0]
     assert [slot.capacity for slot in ring.slots] == [2, 0, 2, 0, 2, 2, 2, 0]
-    assert [ring.slots[i].borrowed_retries for i in RETRY_OFFSETS] == [
-        4,
-        2,
-        0,
-    ]  # empty slots passed gained one each
+    passed_over = [ring.slots[offset].borrowed_retries for offset in RETRY_OFFSETS]
+    assert passed_over == [4, 2, 0]  # empty slots gained one each
 
 
 def test_borrowed_retries_are_put_off_first_in_their_slot() -> None:
--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -8,13 +8,7 @@
 import pytest
 
 from quota_ingress.policy.actions import AddToCounter, SendAttempt, SetTimer
-from quota_ingress.policy.events import (
-    CounterAnswered,
-    Event,
-    Outcome,
-    RequestArrived,
-    TimerFired,
-)
+from quota_ingress.policy.events import CounterAnswered, Event, Outcome, RequestArrived, TimerFired
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import Plan
 from tests.helpers import (
@@ -44,9 +38,9 @@
 
 
 def test_rejected_calls_make_calls_rarer() -> None:
-    def calls(turned_away: int) -> int:
+    def calls(rejected: int) -> int:
         gateway, counter = gateway_with_endpoints(), Counter()
-        for n in range(turned_away):
+        for n in range(rejected):
             for add in of(gateway.handle(0, arrival(n, customer=n + 100)), AddToCounter):
                 gateway.handle(0, CounterAnswered(add.name, Outcome.REJECTED, 0.0, 1000))
         found = 0
@@ -59,26 +53,26 @@
 
 
 def test_a_broken_connection_leaves_the_congestion_as_it_is() -> None:
-    gateway, sent = gateway_with_endpoints(), 0
+    gateway = gateway_with_endpoints()
+    sent = 0
     for n in range(20):
         actions = gateway.handle(n * SECOND, arrival(n, customer=n))
-        (add,) = of(actions, AddToCounter)  # it is still asked for every new customer
+        (add,) = of(actions, AddToCounter)  # the counter is still called for every new customer
         actions = gateway.handle(n * SECOND, CounterAnswered(add.name, Outcome.RESET, 0.0, 100))
         sent += len(of(actions, SendAttempt))
-    assert (
-        gateway.admission.call_pacing.congestion == 1 and sent == 20
-    )  # meanwhile, each by the customer's share
+    assert gateway.admission.call_pacing.congestion == 1
+    assert sent == 20  # each from the local allowance
 
 
 def test_a_late_answer_makes_calls_rarer() -> None:
     gateway = gateway_with_endpoints()
     (add,) = of(gateway.handle(0, arrival(1)), AddToCounter)
-    gateway.handle(60_000, CounterAnswered(add.name, Outcome.OK, add.amount, 60_000))  # its time-out is 30 ms
+    gateway.handle(60_000, CounterAnswered(add.name, Outcome.OK, add.amount, 60_000))  # the timeout is 30 ms
     assert gateway.admission.call_pacing.congestion > 1
 
 
-@pytest.mark.parametrize(("took", "recovered"), [(3_000, True), (20_000, False)])
-def test_calls_recover_soon_after_an_outage_if_answers_are_prompt(took: int, recovered: bool) -> None:
+@pytest.mark.parametrize(("latency", "recovered"), [(3_000, True), (20_000, False)])
+def test_calls_recover_soon_after_an_outage_if_answers_are_prompt(latency: int, recovered: bool) -> None:
     """Forty gateways went on with one call a second each for half a minute, though answers took a few ms."""
     gateway = Gateway(settings(fleet_size=40), 1)
     gateway.admission.call_pacing.congestion = gateway.admission.call_pacing.max_congestion
@@ -87,9 +81,9 @@
         now = SECOND + n * 10_000
         for add in of(gateway.handle(now, arrival(n, customer=n)), AddToCounter):
             calls.append(now)
-            gateway.handle(now + took, CounterAnswered(add.name, Outcome.OK, 1.0, took))
-    last = sum(at > 8 * SECOND for at in calls)
-    assert last > 20 if recovered else last < 10
+            gateway.handle(now + latency, CounterAnswered(add.name, Outcome.OK, 1.0, latency))
+    calls_in_last_second = sum(at > 8 * SECOND for at in calls)
+    assert calls_in_last_second > 20 if recovered else calls_in_last_second < 10
 
 
 def test_calls_of_one_gateway_of_a_large_fleet_are_few() -> None:
@@ -98,36 +92,37 @@
     for n in range(1000):
         for which, gateway in enumerate((one, many)):
             calls[which] += len(of(gateway.handle(SECOND + n * 1000, arrival(n, customer=n)), AddToCounter))
-    assert calls[1] < 30 < calls[0]  # 64 in a time-out of 30 ms, by all gateways together
+    assert calls[1] < 30 < calls[0]  # 64 in a timeout of 30 ms, by all gateways together
 
 
 @pytest.mark.parametrize(
-    ("took", "outcome", "least", "most"),
+    ("latency", "outcome", "least", "most"),
     [
-        (SECOND // 200, Outcome.OK, 140, 220),  # prompt: room to call for nearly all
-        (SECOND // 50, Outcome.OK, 70, 125),  # a line there: 10 a second, as a fleet of this size may
-        (SECOND // 200, Outcome.REJECTED, 0, 30),  # turned away: ever less
+        (SECOND // 200, Outcome.OK, 140, 220),  # prompt: calls for nearly all
+        (SECOND // 50, Outcome.OK, 70, 125),  # queued: 10 a second, the part of one gateway of 200
+        (SECOND // 200, Outcome.REJECTED, 0, 30),  # rejected: ever fewer
     ],
 )
 def test_a_gateway_of_a_large_fleet_calls_as_often_as_the_counter_answers_promptly(
-    took: int, outcome: Outcome, least: int, most: int
+    latency: int, outcome: Outcome, least: int, most: int
 ) -> None:
     plan = Plan("mid", 2.0, burst=8.0)
     gateway = Gateway(settings(fleet_size=200, plans=(plan,)), 1)
     gateway.handle(0, listed(*(backend(n) for n in range(1, 25))))
-    order, asked = itertools.count(), 0
+    order = itertools.count()
+    calls = 0
     events: list[tuple[int, int, Event]] = []
     for number in range(400):  # 20 a second, each of another customer
-        wish = RequestArrived(number, 0, 0, number, 1.0, 3 * SECOND, 0, 150)
-        heapq.heappush(events, (SECOND + number * SECOND // 20, next(order), wish))
+        request = RequestArrived(number, 0, 0, number, 1.0, 3 * SECOND, 0, 150)
+        heapq.heappush(events, (SECOND + number * SECOND // 20, next(order), request))
     while events:
         now, _, event = heapq.heappop(events)
         for action in gateway.handle(now, event):
             match action:
                 case AddToCounter(name, amount) if now < 21 * SECOND:
-                    asked += now >= 11 * SECOND
-                    told = CounterAnswered(name, outcome, amount, took)
-                    heapq.heappush(events, (now + took, next(order), told))
+                    calls += now >= 11 * SECOND
+                    answer = CounterAnswered(name, outcome, amount, latency)
+                    heapq.heappush(events, (now + latency, next(order), answer))
                 case SetTimer(token, at):
                     heapq.heappush(events, (max(now, at), next(order), TimerFired(token)))
-    assert least <= asked <= most  # in ten seconds
+    assert least <= calls <= most  # in ten seconds
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -1,4 +1,4 @@
-"""The quotas of a whole fleet on a quiet day, beside a policy that sees the true stores, but late."""
+"""The quotas of a whole fleet on a quiet day, beside a policy that sees the true buckets, but late."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 import itertools
 import random
 from dataclasses import dataclass, field, replace
-from typing import Any
 
 import pytest
 
@@ -23,99 +22,110 @@
 from quota_ingress.policy.settings import Plan
 from tests.helpers import SECOND, backend, listed, settings
 
-CALL = SECOND // 100  # a call to the counter takes this long
-ANSWER = SECOND // 10  # a backend's answer takes this long
-LATE = SECOND // 5  # how old the true state is that the other policy sees
+CALL_LATENCY = SECOND // 100  # us, of the counter
+ANSWER_LATENCY = SECOND // 10  # us, of the endpoints
+VIEW_AGE = SECOND // 5  # us, of the true state that the other policy sees
 PLANS = (Plan("small", 0.8, burst=3.0), Plan("mid", 2.0, burst=8.0), Plan("big", 8.0, burst=12.0))
-# Of the quota, by customer: most use little of it.
-ASKED = (0.3, 0.3, 0.3, 0.3, 0.95, 0.3, 0.95, 0.3, 0.3, 2.7)
+# Demand as a fraction of the quota, by customer: most use little of it.
+DEMAND = (0.3, 0.3, 0.3, 0.3, 0.95, 0.3, 0.95, 0.3, 0.3, 2.7)
 
 
 @dataclass
-class Store:
-    """What the quota itself says, whoever sends."""
+class TrueBucket:
+    """A customer's bucket as it is, and what was sent by it and beyond it."""
 
     plan: Plan
-    level: float = 0.0
-    at: int = 0
-    inside: int = 0
-    beyond: int = 0
-    seen: list[tuple[int, float]] = field(default_factory=list)  # when, and what it held then
+    units: float = 0.0
+    updated_at: int = 0
+    within_quota: int = 0
+    beyond_quota: int = 0
+    history: list[tuple[int, float]] = field(default_factory=list)  # moments, and the units then
 
-    def room(self, now: int) -> float:
-        return min(self.plan.burst, self.level + (now - self.at) / SECOND * self.plan.rate)
+    def remaining(self, now: int) -> float:
+        return min(self.plan.burst, self.units + (now - self.updated_at) / SECOND * self.plan.rate)
 
     def send(self, now: int) -> None:
-        room = self.room(now)
-        self.inside, self.beyond = self.inside + (room >= 1), self.beyond + (room < 1)
-        self.level, self.at = room - (room >= 1), now
-        self.seen.append((now, self.level))
+        remaining = self.remaining(now)
+        self.within_quota += remaining >= 1
+        self.beyond_quota += remaining < 1
+        self.units = remaining - (remaining >= 1)
+        self.updated_at = now
+        self.history.append((now, self.units))
 
-    def seen_late(self, now: int) -> float:
-        then = now - LATE
-        before = ((at, level) for at, level in reversed(self.seen) if at <= then)
-        at, level = next(before, (then, self.plan.burst))
-        return min(self.plan.burst, level + (then - at) / SECOND * self.plan.rate)
+    def remaining_seen_late(self, now: int) -> float:
+        then = now - VIEW_AGE
+        earlier = ((at, units) for at, units in reversed(self.history) if at <= then)
+        at, units = next(earlier, (then, self.plan.burst))
+        return min(self.plan.burst, units + (then - at) / SECOND * self.plan.rate)
 
 
 def arrivals(size: int, seconds: int) -> list[tuple[int, int, int]]:
-    """When, through which gateway and of which customer: at chance moments, unevenly over its gateways."""
-    chance, found = random.Random(7), []
-    for customer, asked in enumerate(ASKED * 5):
-        rate = PLANS[customer % len(PLANS)].rate * asked
-        spread, now = chance.randint(size // 2, size), float(SECOND)
-        while (now := now + chance.expovariate(rate / SECOND)) < (1 + seconds) * SECOND:
-            at = (customer + int(spread * chance.random() ** 2)) % size
-            found.append((int(now), at, customer))
+    """Returns moments, gateways and customers: at random moments, unevenly over a customer's gateways."""
+    rng = random.Random(7)
+    found = []
+    for customer, demand in enumerate(DEMAND * 5):
+        rate = PLANS[customer % len(PLANS)].rate * demand
+        gateway_count = rng.randint(size // 2, size)
+        now = float(SECOND)
+        while (now := now + rng.expovariate(rate / SECOND)) < (1 + seconds) * SECOND:
+            gateway = (customer + int(gateway_count * rng.random() ** 2)) % size
+            found.append((int(now), gateway, customer))
     return sorted(found)
 
 
-def fleet_sends(size: int, asked: list[tuple[int, int, int]], stores: list[Store]) -> None:
-    """Real modules, with a counter and backends that take their time."""
+def full_buckets() -> list[TrueBucket]:
+    return [TrueBucket(PLANS[n % 3], PLANS[n % 3].burst) for n in range(len(DEMAND) * 5)]
+
+
+def fleet_sends(size: int, arrived: list[tuple[int, int, int]], buckets: list[TrueBucket]) -> None:
+    """Runs a fleet of gateways with a counter and endpoints that have a latency."""
     made = settings(fleet_size=size, plans=PLANS)
     fleet = [Gateway(replace(made, gateway_index=n), n) for n in range(size)]
     totals: dict[int, float] = {}
-    order, whose = itertools.count(), [customer for _, _, customer in asked]
+    order = itertools.count()
+    customers = [customer for _, _, customer in arrived]
     events: list[tuple[int, int, int, Event]] = []
 
-    def later(at: int, gateway: int, event: Event) -> None:
+    def schedule(at: int, gateway: int, event: Event) -> None:
         heapq.heappush(events, (at, next(order), gateway, event))
 
-    for number, (at, gateway, customer) in enumerate(asked):
+    for number, (at, gateway, customer) in enumerate(arrived):
         plan = customer % len(PLANS)
-        wish = RequestArrived(number, 0, plan, customer, 1.0, 3 * SECOND, customer % size, size)
-        later(at, gateway, wish)
+        request = RequestArrived(number, 0, plan, customer, 1.0, 3 * SECOND, customer % size, size)
+        schedule(at, gateway, request)
     for gateway in range(size):
-        later(0, gateway, listed(*(backend(n) for n in range(1, 25))))
-    tried: set[int] = set()
+        schedule(0, gateway, listed(*(backend(n) for n in range(1, 25))))
+    sent: set[int] = set()
     while events:
         now, _, gateway, event = heapq.heappop(events)
         for action in fleet[gateway].handle(now, event):
             match action:
                 case AddToCounter(name, amount):
                     totals[name] = totals.get(name, 0.0) + amount
-                    later(now + CALL, gateway, CounterAnswered(name, Outcome.OK, totals[name], CALL))
+                    total = CounterAnswered(name, Outcome.OK, totals[name], CALL_LATENCY)
+                    schedule(now + CALL_LATENCY, gateway, total)
                 case SetTimer(token, at):
-                    later(max(now, at), gateway, TimerFired(token))
-                case SendAttempt(request, server) if request not in tried:
-                    tried.add(request)
-                    stores[whose[request]].send(now)
-                    answer: Any = AttemptEnded(request, 0, server, Outcome.OK, ANSWER, True)
-                    later(now + ANSWER, gateway, answer)
+                    schedule(max(now, at), gateway, TimerFired(token))
+                case SendAttempt(number, endpoint) if number not in sent:
+                    sent.add(number)
+                    buckets[customers[number]].send(now)
+                    answer = AttemptEnded(number, 0, endpoint, Outcome.OK, ANSWER_LATENCY, True)
+                    schedule(now + ANSWER_LATENCY, gateway, answer)
 
 
 @pytest.mark.parametrize("size", [3, 30])
-def test_on_a_quiet_day_the_fleet_passes_hardly_more_beyond_quotas_than_one_that_sees_them_late(
+def test_on_a_quiet_day_the_fleet_sends_hardly_more_beyond_quotas_than_one_that_sees_the_buckets_late(
     size: int,
 ) -> None:
-    asked = arrivals(size, 20)
-    ours, late = ([Store(PLANS[n % 3], PLANS[n % 3].burst) for n in range(len(ASKED) * 5)] for _ in range(2))
-    fleet_sends(size, asked, ours)
-    for now, _, customer in asked:
-        if late[customer].seen_late(now) >= 1:
+    arrived = arrivals(size, 20)
+    ours = full_buckets()
+    late = full_buckets()
+    fleet_sends(size, arrived, ours)
+    for now, _, customer in arrived:
+        if late[customer].remaining_seen_late(now) >= 1:
             late[customer].send(now)
-    offered = len(asked) - sum(max(0.0, ASKED[n % 10] - 1) * s.plan.rate * 20 for n, s in enumerate(ours))
-    cost = [sum(store.beyond for store in stores) / offered for stores in (ours, late)]
-    served = [sum(store.inside for store in stores) / offered for stores in (ours, late)]
+    offered = len(arrived) - sum(max(0.0, DEMAND[n % 10] - 1) * s.plan.rate * 20 for n, s in enumerate(ours))
+    cost = [sum(bucket.beyond_quota for bucket in buckets) / offered for buckets in (ours, late)]
+    served = [sum(bucket.within_quota for bucket in buckets) / offered for buckets in (ours, late)]
     assert cost[0] <= cost[1] + 0.1
     assert served[0] > 0.8 * served[1]  # and not by sending nothing
--- a/tests/test_leased_quota.py
+++ b/tests/test_leased_quota.py
@@ -5,30 +5,19 @@
 import pytest
 
 from quota_ingress.policy.actions import AddToCounter, Reject, SendAttempt
-from quota_ingress.policy.events import (
-    CounterAnswered,
-    Outcome,
-)
+from quota_ingress.policy.events import CounterAnswered, Outcome
 from quota_ingress.policy.lease import counter_name
 from quota_ingress.policy.leased_quota import LeasedQuota
-from tests.helpers import (
-    PLANS,
-    SECOND,
-    Counter,
-    arrival,
-    gateway_with_endpoints,
-    of,
-    settle,
-)
+from tests.helpers import PLANS, SECOND, Counter, arrival, gateway_with_endpoints, of, settle
 
 
 def test_first_request_leases_several_units_and_is_sent() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
-    asked = gateway.handle(0, arrival(1))
-    (add,) = of(asked, AddToCounter)
-    assert not of(asked, SendAttempt) and add.amount > 1
+    actions = gateway.handle(0, arrival(1))
+    (add,) = of(actions, AddToCounter)
+    assert not of(actions, SendAttempt) and add.amount > 1
     assert add.name == counter_name(7, 0)
-    assert len(of(gateway.handle(1000, counter.answers(asked)[0]), SendAttempt)) == 1
+    assert len(of(gateway.handle(1000, counter.answers(actions)[0]), SendAttempt)) == 1
 
 
 def test_leased_units_admit_without_another_call() -> None:
@@ -40,7 +29,7 @@
 
 def test_units_leased_past_the_allowance_are_added_back() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
-    counter.totals[counter_name(7, 0)] = 3.5  # a sibling took most of the burst of 4
+    counter.totals[counter_name(7, 0)] = 3.5  # another gateway took most of the burst of 4
     actions = settle(gateway, 0, arrival(1), counter)
     corrections = [a.amount for a in of(actions, AddToCounter) if a.amount < 0]
     assert len(corrections) == 1 and of(actions, Reject) and not of(actions, SendAttempt)
@@ -80,7 +69,7 @@
     counter.totals.clear()
     sent += sum(len(of(settle(gateway, 500_000, arrival(n), counter), SendAttempt)) for n in range(8, 16))
     assert sent <= 5  # burst 4 and half a second at 2 a second
-    assert sum(counter.totals.values()) > 2  # what it forgot was put corrections
+    assert sum(counter.totals.values()) > 2  # what it forgot was put back
 
 
 @pytest.mark.parametrize("total", [float("nan"), float("inf"), -50.0, -1e30])
@@ -113,7 +102,7 @@
 
 def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
     gateway = gateway_with_endpoints()
-    for second, outcome in enumerate((Outcome.TIMEOUT, Outcome.REJECTED)):  # the second tells it to nobody
+    for second, outcome in enumerate((Outcome.TIMEOUT, Outcome.REJECTED)):  # the second adds nothing
         (add,) = of(gateway.handle(second * SECOND, arrival(second)), AddToCounter)
         spent = gateway.handle(second * SECOND, CounterAnswered(add.name, outcome, 0.0, 90_000))
         assert of(spent, SendAttempt)
--- a/tests/test_quiescence.py
+++ b/tests/test_quiescence.py
@@ -1,4 +1,4 @@
-"""Whatever came in whatever order: once all is quiet, the module holds nothing of it."""
+"""Once no request, call or timer is open, a gateway holds nothing of them, whatever the order of events."""
 
 from __future__ import annotations
 
@@ -23,41 +23,42 @@
 from tests.helpers import DRAINING, GONE, PLANS, READY, SECOND, arrival, backend, listed, settings
 
 OUTCOMES = list(Outcome)
-COUNTED = [Outcome.OK] * 5 + [
+CALL_OUTCOMES = [Outcome.OK] * 5 + [
     Outcome.TIMEOUT,
     Outcome.REJECTED,
     Outcome.RESET,
     Outcome.CONNECT_FAILED,
 ]
 MAY_HAVE_BEEN_ADDED = (Outcome.OK, Outcome.TIMEOUT, Outcome.RESET)
-PATIENCE = 3000  # turns in which all has to come to rest
+MAX_STEPS_TO_REST = 3000
 
 
-class Play:
-    """A gateway among drawn events: lost answers, forgotten names, clients that leave, lists that change and
-    hand-overs; customers of few gateways and of many."""
+class RandomEvents:
+    """Random events for a gateway: lost answers, forgotten counters, clients that leave, changes of the
+    endpoint list, and hand-overs; customers of few gateways and of many."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.size = self.rng.choice([2, 4, 20, 40])
-        self.spread = self.rng.choice([1, 2, min(self.size, 13), self.size])
+        self.gateway_count = self.rng.choice([1, 2, min(self.size, 13), self.size])
         limits = {"may_hedge": self.rng.random() < 0.5, "may_cancel": self.rng.random() < 0.5}
         self.gateway = Gateway(settings(fleet_size=self.size, limits=limits), seed)
-        self.now, self.number = 0, 0
+        self.now = 0
+        self.number = 0
         self.open: dict[int, int] = {}  # requests with no final answer, and their deadlines
-        self.out: list[tuple[int, int, int, int]] = []  # request, attempt, backend, when
+        self.in_flight: list[tuple[int, int, int, int]] = []  # request, attempt, endpoint, sent at
         self.sent: dict[int, int] = {}
         self.calls: list[tuple[AddToCounter, int]] = []
         self.timers: list[SetTimer] = []
         self.totals: dict[int, float] = {}
-        self.tell(listed(*(backend(n) for n in range(1, 7))))
+        self.handle(listed(*(backend(n) for n in range(1, 7))))
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
             match action:
-                case SendAttempt(request, to, _):
+                case SendAttempt(request, endpoint, _):
                     self.sent[request] = self.sent.get(request, -1) + 1
-                    self.out.append((request, self.sent[request], to, self.now))
+                    self.in_flight.append((request, self.sent[request], endpoint, self.now))
                 case Reject(request) | Fail(request):
                     assert self.open.pop(request, None) is not None, "a second final answer"
                 case AddToCounter(_, amount, ttl):
@@ -66,79 +67,79 @@
                 case SetTimer():
                     self.timers.append(action)
 
-    def pass_time(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         self.now += us
         for timer in [t for t in self.timers if t.at <= self.now]:
             self.timers.remove(timer)
-            self.tell(TimerFired(timer.token))
+            self.handle(TimerFired(timer.token))
         for request in [r for r, deadline in self.open.items() if deadline <= self.now]:
             if self.open.pop(request, None) is not None:
-                self.tell(ClientDisconnected(request))
+                self.handle(ClientDisconnected(request))
 
     def arrive(self) -> None:
         self.number += 1
-        left = self.rng.choice([5000, 200_000, 3 * SECOND])
-        self.open[self.number] = self.now + left
-        plan, units = self.rng.randrange(len(PLANS)), self.rng.choice([0.5, 1.0, 2.0])
-        cls, again = self.rng.randrange(3), self.rng.random() < 0.2
-        customer = self.rng.randrange(3)
+        time_left = self.rng.choice([5000, 200_000, 3 * SECOND])
+        self.open[self.number] = self.now + time_left
         event = arrival(
             self.number,
-            request_class=cls,
-            plan=plan,
-            customer=customer,
-            units=units,
-            time_left=left,
-            gateway_count=self.spread,
-            is_retry=again,
+            plan=self.rng.randrange(len(PLANS)),
+            units=self.rng.choice([0.5, 1.0, 2.0]),
+            request_class=self.rng.randrange(3),
+            is_retry=self.rng.random() < 0.2,
+            customer=self.rng.randrange(3),
+            time_left=time_left,
+            gateway_count=self.gateway_count,
         )
-        self.tell(event)
+        self.handle(event)
 
     def end_attempt(self, at: int) -> None:
-        request, attempt, to, when = self.out.pop(at)
+        request, attempt, endpoint, sent_at = self.in_flight.pop(at)
         outcome = self.rng.choice(OUTCOMES)
         final = request not in self.open or outcome is Outcome.OK
         if final:
             self.open.pop(request, None)
-        self.tell(AttemptEnded(request, attempt, to, outcome, self.now - when, final))
+        self.handle(AttemptEnded(request, attempt, endpoint, outcome, self.now - sent_at, final))
 
     def answer_call(self, outcome: Outcome) -> None:
-        call, when = self.calls.pop(0)
+        call, called_at = self.calls.pop(0)
         if outcome in MAY_HAVE_BEEN_ADDED:
             self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         if self.rng.random() < 0.03:
             self.totals[call.name] = 0.0  # forgotten
-        self.tell(CounterAnswered(call.name, outcome, self.totals.get(call.name, 0.0), self.now - when))
+        self.handle(
+            CounterAnswered(call.name, outcome, self.totals.get(call.name, 0.0), self.now - called_at)
+        )
 
     def step(self) -> None:
-        self.pass_time(self.rng.choice([0, 500, 5000, 30_000, 400_000]))
+        self.advance(self.rng.choice([0, 500, 5000, 30_000, 400_000]))
         chance = self.rng.random()
         if chance < 0.4:
             self.arrive()
-        elif chance < 0.6 and self.out:
-            self.end_attempt(self.rng.randrange(len(self.out)))
+        elif chance < 0.6 and self.in_flight:
+            self.end_attempt(self.rng.randrange(len(self.in_flight)))
         elif chance < 0.8 and self.calls:
-            self.answer_call(self.rng.choice(COUNTED))
+            self.answer_call(self.rng.choice(CALL_OUTCOMES))
         elif chance < 0.86 and self.open:
             request = self.rng.choice(sorted(self.open))
             del self.open[request]
-            self.tell(ClientDisconnected(request))
+            self.handle(ClientDisconnected(request))
         elif chance < 0.93:
-            state, started = self.rng.choice([READY, READY, DRAINING, GONE]), self.rng.choice([0, self.now])
-            changed = backend(self.rng.randrange(1, 7), state, started_at=started)
-            self.tell(listed(changed, kind=ListKind.DELTA))
+            state = self.rng.choice([READY, READY, DRAINING, GONE])
+            started_at = self.rng.choice([0, self.now])
+            changed = backend(self.rng.randrange(1, 7), state, started_at=started_at)
+            self.handle(listed(changed, kind=ListKind.DELTA))
         elif chance < 0.95:
             self.gateway.hand_over()
 
-    def rest(self) -> None:
-        for _ in range(PATIENCE):
-            if not (self.out or self.calls or self.timers):
+    def run_until_quiet(self) -> None:
+        for _ in range(MAX_STEPS_TO_REST):
+            if not (self.in_flight or self.calls or self.timers):
                 assert not self.open, "requests that nothing will answer any more"
                 return
-            self.pass_time(20_000)
+            self.advance(20_000)
             if self.calls:
                 self.answer_call(Outcome.OK)
-            if self.out:
+            if self.in_flight:
                 self.end_attempt(0)
         raise AssertionError("it never came to rest")
 
@@ -146,11 +147,11 @@
 @examples(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 1 << 30))
 def test_nothing_is_left_once_all_is_quiet(seed: int) -> None:
-    play = Play(seed)
-    for _ in range(play.rng.choice([60, 250])):
-        play.step()
-    play.rest()
-    gateway = play.gateway
+    events = RandomEvents(seed)
+    for _ in range(events.rng.choice([60, 250])):
+        events.step()
+    events.run_until_quiet()
+    gateway = events.gateway
     assert not gateway.requests and not gateway.flying and not gateway.admission.pending_calls
     assert gateway.fleet.out == 0 and not any(b.out for b in gateway.fleet.backends.values())
     for customer, quota in gateway.admission.customers.items():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,9 +5,7 @@
 import pytest
 
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import (
-    settings,
-)
+from tests.helpers import settings
 
 
 @pytest.mark.parametrize("broken", [{"classes": ()}, {"fleet_size": 0}, {"limits": {"max_attempts": 0}}])
