--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -4,12 +4,16 @@
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import replace
 from itertools import islice
 from typing import Any
 
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import REMOVED, EndpointEntry, EndpointList
-from quota_ingress.policy.endpoint_list import ListKind
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
+from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
 Tell = Callable[[EndpointList, ListKind | None], None]
 MAX_REMOVED_NAMES = (
@@ -39,7 +43,7 @@
         self._as_discovered: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
         self._removed_names: OrderedDict[str, None] = OrderedDict()
         self._incoming_entries: dict[
-            str, str
+            str, PackedEntry
         ] = {}  # packed: told by the process that this one takes over from
 
     @property
@@ -50,7 +54,7 @@
     def apply_list(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """A change costs as much as it changes."""
         packed, directory = listing.packed, self._directory
-        left: Iterable[str] = (n for n in packed if packed[n][0] == REMOVED)
+        left: Iterable[str] = (n for n in packed if is_removed(packed[n]))
         if listing.is_snapshot:
             self._as_discovered.clear()
             left = [*left, *(n for n in directory if n not in packed)]
@@ -63,10 +67,10 @@
             else packed.keys()
         )
         for name in few:
-            if packed[name][0] != REMOVED and (name in self.offline or name in self._restart_moments):
-                self._as_discovered[name] = EndpointEntry.unpacked(name, packed[name])
-                packed[name] = self._with_override(self._as_discovered[name]).packed()
-        self.index = listing.index
+            if not is_removed(packed[name]) and (name in self.offline or name in self._restart_moments):
+                self._as_discovered[name] = unpack_entry(name, packed[name])
+                packed[name] = pack_entry(self._with_override(self._as_discovered[name]))
+        self.index = listing.version
         self._pass_on(listing, kind)
 
     def snapshot(self) -> dict[str, Any]:
@@ -80,14 +84,16 @@
         names = iter(self._directory)
         while some := list(islice(names, PART)):
             yield {
-                n: self._as_discovered[n].packed() if n in self._as_discovered else self._directory.text(n)
+                n: pack_entry(self._as_discovered[n])
+                if n in self._as_discovered
+                else self._directory.packed_entry(n)
                 for n in some
             }
 
     def restore_entries(self, part: dict[str, str]) -> None:
         """Some of the other process's list, before it is taken up."""
         for name, packed in part.items():
-            self._incoming_entries[name] = EndpointEntry.unpacked(name, packed).packed()
+            self._incoming_entries[name] = pack_entry(unpack_entry(name, packed))
 
     def restore(self, told: dict[str, Any]) -> EndpointList:
         """The other process's list, once what operators asked of it holds here, too. ValueError if some of
@@ -95,10 +101,9 @@
         """
         coming, self._incoming_entries = self._incoming_entries, {}
         if "listing" in told:  # by a process of an earlier version
-            listing = EndpointList(told["listing"])
+            listing = decode_endpoint_list(told["listing"])
         elif len(coming) == told["listed"]["count"]:
-            listing = EndpointList({"index": told["listed"]["index"], "snapshot": True, "endpoints": []})
-            listing.packed = coming
+            listing = EndpointList(int(told["listed"]["index"]), True, coming)
         else:
             raise ValueError(f"{len(coming)} backends of {told['listed']['count']}")
         out, back = {str(n) for n in told["out"]}, {str(n): int(at) for n, at in told["back"].items()}
@@ -151,20 +156,20 @@
     def _publish_entry(self, name: str) -> None:
         if name in self._directory:
             entry = self._as_discovered.setdefault(name, self._directory[name])
-            self._pass_on(EndpointList.of(self.index, False, [self._with_override(entry)]), None)
+            self._pass_on(EndpointList.from_entries(self.index, False, [self._with_override(entry)]), None)
 
     def _pass_on(self, listing: EndpointList, kind: ListKind | None) -> None:
         if self._keeps:
-            self._directory.take(listing)
+            self._directory.apply(listing)
         self._publish(listing, kind)
 
     def _with_override(self, entry: EndpointEntry) -> EndpointEntry:
         """Moments of two clocks are never compared: what operators did counts until another start is told."""
-        if entry.status == "up" and entry.name in self.offline:
-            return entry.replaced(status="draining")
+        if entry.state is EndpointState.READY and entry.name in self.offline:
+            return replace(entry, state=EndpointState.DRAINING)
         if entry.name not in self._restart_moments:
             return entry
         if self._start_when_restored.setdefault(entry.name, entry.started_us) != entry.started_us:
             del self._restart_moments[entry.name], self._start_when_restored[entry.name]
             return entry
-        return entry.replaced(since_us=self._restart_moments[entry.name])
+        return replace(entry, started_us=self._restart_moments[entry.name])
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.start_times import reserve
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
+from quota_ingress.net.discovery.start_times import age_tolerance
 from quota_ingress.net.engine.attempt_runner import RESPONSE_MARGIN
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.policy.actions import Action, AddToCounter, CancelAttempt, Fail, Reject, SendAttempt
@@ -109,12 +109,14 @@
 def test_the_module_hears_the_list_before_the_attempts_that_it_withdraws() -> None:
     network = FakeNetwork(Script(sender()))
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up", "since_ms": 5} for n in "ab"]
-    network.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": names}))
+    network.engine.update_endpoints(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": names}))
     network.ask()
-    network.engine.update_endpoints(EndpointList({"index": 2, "snapshot": True, "endpoints": names[1:]}))
+    network.engine.update_endpoints(
+        decode_endpoint_list({"index": 2, "snapshot": True, "endpoints": names[1:]})
+    )
     assert [type(e) for e in network.script.events[-2:]] == [EndpointsListed, AttemptEnded]
     assert network.removed_endpoints == [1]
     first, second = network.script.of(EndpointsListed)
     assert [b.id for b in first.endpoints] == [1, 2] and [b.id for b in second.endpoints] == [2]
-    just_now = START - reserve(SETTINGS.safety)
+    just_now = START - age_tolerance(SETTINGS.safety)
     assert first.endpoints[0].started_at == just_now and second.kind is ListKind.FULL
