--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -125,7 +125,7 @@
             await asyncio.sleep(max(0.0, due - loop.time()))
             self._number += 1
             body = Body(self._room)
-            body.whole = True
+            body.complete = True
             wanted = ParsedRequest(
                 b"%x-%x" % (settings.gateway_index, self._number),
                 0,
--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -20,7 +20,7 @@
 from quota_ingress.net.admin import Admin
 from quota_ingress.net.clock import Clock
 from quota_ingress.net.counter.client import Counter
-from quota_ingress.net.descriptors import CALLERS, DescriptorBudget
+from quota_ingress.net.descriptors import ADMIN_DESCRIPTORS, DescriptorBudget
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList, pack, skip
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.discovery.retry import IN_FORCE
@@ -290,13 +290,13 @@
         )  # until it has been taken in: a long one is not held twice
         self.config, self.clock = replace(config, known=None), Clock()
         clock = self.clock
-        self._callers = CALLERS if config.admin else 0
+        self._callers = ADMIN_DESCRIPTORS if config.admin else 0
         self.sockets = sockets = DescriptorBudget(config.sockets, self._callers)
         names, limits = SettingsIndex(config.settings, config.raw), config.settings.limits
         loop, gateway = asyncio.get_running_loop(), Gateway(config.settings, config.seed)
         self.trace = EventLog.from_environment()
         self.engine = Engine(gateway, config.settings, names, loop, clock.now, self.trace)
-        self.room = room = MemoryBudget(config.memory_mb)
+        self.memory_budget = room = MemoryBudget(config.memory_mb)
         size, wait = config.settings.fleet_size, limits.connect_timeout
         self.backends = UpstreamClient(sockets.backends, config.conn_idle, wait, room, size, self.trace)
         self.engine.upstream = self.backends
@@ -365,9 +365,9 @@
         """Every request and connection has been ended: what still counts as open was leaked on the way."""
         counts: dict[str, Callable[[], int]] = {
             "requests": lambda: self.engine.unfinished,
-            "client connections": lambda: self.sockets.clients.open,
-            "backend connections": lambda: self.sockets.backends.open,
-            "bytes": lambda: self.room.held,
+            "client connections": lambda: self.sockets.clients.in_use,
+            "backend connections": lambda: self.sockets.backends.in_use,
+            "bytes": lambda: self.memory_budget.used,
         }
         end = asyncio.get_running_loop().time() + CLOSED_WITHIN
         while any(count() for count in counts.values()) and asyncio.get_running_loop().time() < end:
@@ -381,7 +381,7 @@
         try:
             self.clock.adopt(int(told.get("clock", self.clock.base)))  # the version before tells none
             self._told = self.maintenance.take_up(told)
-            self.listener.drain(bool(told["drained"]))
+            self.listener.set_out_of_service(bool(told["drained"]))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("handover: what the other process tells cannot be read: %r", error)
 
@@ -392,7 +392,10 @@
         self.maintenance.take_part(part)
 
     def described(self) -> dict[str, Any]:
-        return self.maintenance.described() | {"drained": self.listener.draining, "clock": self.clock.base}
+        return self.maintenance.described() | {
+            "drained": self.listener.out_of_service,
+            "clock": self.clock.base,
+        }
 
     def hand_over(self) -> dict[str, Any]:
         log.info("handover: another process accepts from now on")
@@ -416,15 +419,15 @@
             self.trace.event("process", "serving again")
             if self._leaving:
                 self._leaving.cancel()
-            self.listener.take_back()
+            self.listener.resume_serving()
 
     def shares(self, with_other: bool) -> None:
-        self.sockets.halve(with_other)
-        self.listener.top = self.sockets.top
+        self.sockets.set_shared(with_other)
+        self.listener.hard_limit = self.sockets.client_hard_limit
 
     def noted(self, note: dict[str, Any]) -> None:
         if "drain" in note:
-            self.listener.drain(bool(note["drain"]))
+            self.listener.set_out_of_service(bool(note["drain"]))
         else:
             self.maintenance.noted(str(note["backend"]), bool(note["out"]))
 
@@ -444,7 +447,7 @@
     # Operators' calls.
 
     def ready(self) -> bool:
-        return self.listener.listening and not self.listener.stopping and self.engine.can_send
+        return self.listener.is_accepting and not self.listener.stopping and self.engine.can_send
 
     def take_offline(self, name: str) -> bool:
         return self._backend(name, self.maintenance.take_offline(name), out=True)
@@ -458,7 +461,7 @@
         return known
 
     def drain(self, on: bool) -> None:
-        self.listener.drain(on)
+        self.listener.set_out_of_service(on)
         self._note({"drain": on})
 
 
@@ -486,16 +489,16 @@
     loop = asyncio.get_running_loop()
     longest = min(LONGEST_STOP, max(c.deadline for c in engine.settings.classes) / 1e6)
     end = loop.time() + longest + STOP_MARGIN
-    listener.begin_stop()
-    if not listener.handed:  # else another process accepts
+    listener.begin_shutdown()
+    if not listener.handed_over:  # else another process accepts
         await asyncio.sleep(ACCEPTS_ON)
-        await listener.take_line(end)
+        await listener.accept_backlog(end)
     listener.stop_listening()
     while (engine.in_flight or listener.connections) and loop.time() < end:
         await asyncio.sleep(LOOK)
     engine.fail_all()
     while listener.connections and loop.time() < end + LAST_ANSWERS:
-        listener.last_call()
+        listener.close_remaining()
         await asyncio.sleep(LOOK)
 
 
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -142,14 +142,14 @@
         self._message.body.release()
         self._admin.left(self)
 
-    def came(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """One call a connection: what comes behind it is void, and so is a body, but for its end."""
-        if message.body.long:
+        if message.body.is_long:
             self.answer(413, "a call has no body")
-        elif message.body.whole and self in self._admin.callers:
+        elif message.body.complete and self in self._admin.callers:
             self._admin.called(self, message.method, message.target)
 
-    def garbage(self, status: int) -> None:
+    def protocol_error(self, status: int) -> None:
         self.answer(status, "not understood")
 
     def answer(self, status: int, text: str) -> None:
--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -12,7 +12,9 @@
 
 BASE = 30  # descriptors that are not counted below: standard streams, the loop's own, the listener, discovery
 # and the counter, twice while one replaces the other
-CALLERS = 12  # descriptors for operators' calls, kept apart: a call is answered however crowded the rest is
+ADMIN_DESCRIPTORS = (
+    12  # descriptors for operators' calls, kept apart: a call is answered however crowded the rest is
+)
 USED = 0.92  # of the rest is dealt out: a closed one is free only when the loop has come round
 CLIENTS = 0.52  # of that: a third of the limit is for requests, the rest may stand idle
 SPARE = 0.04  # of the limit: clients are let in past their share, to be told no; then they wait in line
@@ -20,22 +22,22 @@
 LAST_DATA_AT = 52  # bytes into tcp_info(7): tcpi_last_data_recv
 
 
-class Share:
+class DescriptorShare:
     """The connections to one side: clients cannot crowd out the backends, nor the other way round."""
 
     def __init__(self, most: int, evict: Callable[[], bool] = lambda: False) -> None:
-        self.most, self.open = most, 0
+        self.limit, self.in_use = most, 0
         self.evict = evict  # closes one that is of no use now, or returns False where there is none
-        self.freed: Callable[[], None] = lambda: None  # called when one has been closed
+        self.on_freed: Callable[[], None] = lambda: None  # called when one has been closed
 
-    def closed(self) -> None:
+    def release(self) -> None:
         """One has been closed."""
-        self.open -= 1
-        self.freed()
+        self.in_use -= 1
+        self.on_freed()
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """True if one more may be opened, if need be for another that is closed."""
-        return self.open < self.most or self.evict()
+        return self.in_use < self.limit or self.evict()
 
 
 class DescriptorBudget:
@@ -44,21 +46,21 @@
     def __init__(self, limit: int, callers: int = 0) -> None:
         """`callers`: descriptors held back for operators' calls."""
         self._limit, self._callers = limit, callers
-        self.clients, self.backends, self.top = Share(0), Share(0), 0
-        self.deal(limit)
+        self.clients, self.backends, self.client_hard_limit = DescriptorShare(0), DescriptorShare(0), 0
+        self.allocate(limit)
 
-    def halve(self, halved: bool) -> None:
+    def set_shared(self, halved: bool) -> None:
         """Another process of the same ingress holds descriptors under the same limit, or no longer does."""
-        self.deal(self._limit // 2 if halved else self._limit)
+        self.allocate(self._limit // 2 if halved else self._limit)
 
-    def deal(self, limit: int) -> None:
+    def allocate(self, limit: int) -> None:
         """Deals out so many anew, and closes what is over."""
         most = max(2, int((limit - BASE - self._callers) * USED))
-        self.clients.most = max(1, int(most * CLIENTS))
-        self.backends.most = max(1, most - self.clients.most)
-        self.top = self.clients.most + max(1, int(limit * SPARE))
+        self.clients.limit = max(1, int(most * CLIENTS))
+        self.backends.limit = max(1, most - self.clients.limit)
+        self.client_hard_limit = self.clients.limit + max(1, int(limit * SPARE))
         for share in (self.clients, self.backends):
-            for _ in range(share.open - share.most):
+            for _ in range(share.in_use - share.limit):
                 if not share.evict():
                     break
 
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -71,12 +71,12 @@
 
     def __init__(self, listener: Listener, waited_since: int | None = None) -> None:
         """`waited_since`: us, since when it may have waited to be accepted; None: it has not."""
-        super().__init__(httptools.HttpRequestParser, listener.room)
+        super().__init__(httptools.HttpRequestParser, listener.memory_budget)
         self._listener, self._engine = listener, listener.engine
         self._waited_since = waited_since
         self._closed_by: CloseReason | None = None  # this side, once it has
         self._crowded = self._paused = self._full = False
-        self._began = self._heard_at = 0
+        self._message_started_at = self._last_data_at = 0
         self._waiting: deque[Message] = deque()  # behind the one in hand
         self._taken: Message | None = None  # in hand: its head is sound, its body may still be coming
         self._wanted: ParsedRequest | None = None
@@ -96,10 +96,10 @@
         for buffer in (socket.SO_RCVBUF, socket.SO_SNDBUF):
             with contextlib.suppress(OSError):  # a larger one than asked for harms nobody
                 transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, buffer, KERNEL_BUFFER)
-        self._crowded = not listener.share.room()
-        listener.share.open += 1
+        self._crowded = not listener.descriptors.has_capacity()
+        listener.descriptors.in_use += 1
         listener.connections.add(self)
-        self._began = listener.new[self] = listener.now()
+        self._message_started_at = listener.awaiting_first_request[self] = listener.now()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The client has gone with what it had open."""
@@ -109,10 +109,16 @@
         reason = self._closed_by.value if self._closed_by else by_client
         self._engine.trace.event("client connection closed", reason)
         listener.connections.discard(self)
-        listener.coming.discard(self)
-        for held in (listener.new, listener.begun, listener.idle, listener.choked, listener.lingering):
+        listener.receiving_body.discard(self)
+        for held in (
+            listener.awaiting_first_request,
+            listener.receiving_head,
+            listener.idle,
+            listener.write_blocked,
+            listener.lingering,
+        ):
             held.pop(self, None)
-        listener.share.closed()
+        listener.descriptors.release()
         self._let_go()
         self._message.body.release()
         if self._answer:
@@ -128,15 +134,15 @@
             message.body.release()
         self._waiting.clear()
         self._taken = self._wanted = None
-        self._listener.coming.discard(self)
+        self._listener.receiving_body.discard(self)
 
     def data_received(self, data: bytes) -> None:
         """Parses what came, unless the last answer has been given."""
         if self not in self._listener.lingering:
             self.received_at = self._arrival()
             super().data_received(data)
-            if self._begun:
-                self._heard_at = self._listener.now()
+            if self._in_message:
+                self._last_data_at = self._listener.now()
 
     def _arrival(self) -> int:
         """When the data that has just been read came to this machine, at the earliest (us): it may have
@@ -152,13 +158,13 @@
         age = quiet_for(self.transport)
         return earliest if age is None else max(earliest, now - age)
 
-    def began(self) -> None:
+    def message_started(self) -> None:
         """The first byte of a request: it has its time to come whole."""
-        self._began = self._listener.now()
+        self._message_started_at = self._listener.now()
         if self._listener.idle.pop(self, None) is not None:
-            self._listener.begun[self] = self._began
+            self._listener.receiving_head[self] = self._message_started_at
 
-    def came(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """A request's head, more of its body, or its end."""
         if self.transport.is_closing() or self in self._listener.lingering:  # behind the last answer
             message.body.release()
@@ -173,13 +179,15 @@
     @property
     def _free(self) -> bool:
         busy = self._taken is not None or self._current is not None or self._answer is not None
-        return not busy and self not in self._listener.choked
+        return not busy and self not in self._listener.write_blocked
 
     def _hold(self) -> None:
         """Reads no more while enough waits: requests behind the one in hand, or a body on its way."""
         body = self._taken.body if self._taken else None
-        many = len(self._waiting) > QUEUED or any(m.body.long for m in self._waiting)
-        much = body is not None and self._current is not None and not body.whole and body.held > BUFFERED
+        many = len(self._waiting) > QUEUED or any(m.body.is_long for m in self._waiting)
+        much = (
+            body is not None and self._current is not None and not body.complete and body.buffered > BUFFERED
+        )
         if (many or much) and not self._paused and not self.transport.is_closing():
             self._paused, self._held_up = True, self._listener.now()
             self.transport.pause_reading()
@@ -195,38 +203,43 @@
 
     def _ease(self) -> None:
         body = self._taken.body if self._taken else None
-        many = len(self._waiting) > QUEUED // 2 or any(m.body.long for m in self._waiting)
-        much = body is not None and self._current is not None and not body.whole and body.held > BUFFERED // 2
+        many = len(self._waiting) > QUEUED // 2 or any(m.body.is_long for m in self._waiting)
+        much = (
+            body is not None
+            and self._current is not None
+            and not body.complete
+            and body.buffered > BUFFERED // 2
+        )
         if self._paused and not (many or much) and not self.transport.is_closing():
             self._paused = False
-            self._heard_at = self._listener.now()
-            self._began += self._heard_at - self._held_up
+            self._last_data_at = self._listener.now()
+            self._message_started_at += self._last_data_at - self._held_up
             self._catching_up = True
             self.transport.resume_reading()
 
-    def slow(self, now: int) -> bool:
+    def is_too_slow(self, now: int) -> bool:
         """Its body comes more slowly than any client sends that means it, or comes no more: what it sent fast
         buys it no time to say nothing.
         """
         body = self._taken.body if self._taken else None
         if body is None or self._paused:
             return False
-        stopped = now - self._heard_at > 1e6 * STOPPED
-        return stopped or now - self._began > 1e6 * (HALF_SENT + body.came / BODY_RATE)
+        stopped = now - self._last_data_at > 1e6 * STOPPED
+        return stopped or now - self._message_started_at > 1e6 * (HALF_SENT + body.received / BODY_RATE)
 
-    def reads(self, now: int) -> None:
+    def note_read_progress(self, now: int) -> None:
         """Notes whether the client has read on since the last look."""
         if self.transport.is_closing():  # its descriptor may be another's already
             return
         read = self._written - self.transport.get_write_buffer_size() - unsent(self.transport)
         if read > self._read:
             self._read = read
-            self._listener.choked[self] = now
+            self._listener.write_blocked[self] = now
 
-    def garbage(self, status: int) -> None:
+    def protocol_error(self, status: int) -> None:
         """What came whole before is answered first, and of what is under way, the answer stands for this."""
-        self._lost_framing = True
-        if self._waiting and not self._waiting[-1].body.whole:
+        self._framing_lost = True
+        if self._waiting and not self._waiting[-1].body.complete:
             self._waiting.pop().body.release()
         if self._answer is not None or self._waiting or (self._current is not None and self._whole):
             return
@@ -238,32 +251,32 @@
 
     @property
     def _whole(self) -> bool:
-        return self._taken is None or self._taken.body.whole
+        return self._taken is None or self._taken.body.complete
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Some of a request has come that is not answered."""
         doing = self._taken is not None or self._current is not None or self._answer is not None
-        return (doing or bool(self._waiting) or self._begun) and self not in self._listener.lingering
+        return (doing or bool(self._waiting) or self._in_message) and self not in self._listener.lingering
 
-    def stalled(self, before: int) -> bool:
+    def is_stalled(self, before: int) -> bool:
         """It began a head, and has not gone on since."""
-        half = self._begun and self._taken is None and self._current is None and not self._waiting
+        half = self._in_message and self._taken is None and self._current is None and not self._waiting
         half = half and not self.transport.is_closing()
-        return half and self._heard_at < before and not unread(self.transport)
+        return half and self._last_data_at < before and not unread(self.transport)
 
-    def leave(self) -> None:
+    def evict_incomplete(self) -> None:
         """Ends it in the middle of a head, to make room."""
-        for held in (self._listener.new, self._listener.begun):
+        for held in (self._listener.awaiting_first_request, self._listener.receiving_head):
             held.pop(self, None)
         self._close(CloseReason.EVICTED)
 
-    def close_if_quiet(self, reason: CloseReason = CloseReason.IDLE) -> bool:
+    def close_if_idle(self, reason: CloseReason = CloseReason.IDLE) -> bool:
         """Closes it between requests; not if one waits unread in the socket, which would lose it."""
-        if self.busy or self.transport.is_closing() or unread(self.transport):
+        if self.is_busy or self.transport.is_closing() or unread(self.transport):
             return False
         self._listener.idle.pop(self, None)
-        self._listener.new.pop(self, None)
+        self._listener.awaiting_first_request.pop(self, None)
         self._close(reason)
         return True
 
@@ -285,11 +298,11 @@
 
     def _unanswered(self) -> int:
         """Requests that came whole and have no answer."""
-        return (self._current is not None and self._whole) + sum(m.body.whole for m in self._waiting)
+        return (self._current is not None and self._whole) + sum(m.body.complete for m in self._waiting)
 
     def _more_has_come(self) -> bool:
         """Behind the request in hand: parsed, about to be handed on, or unread in the socket."""
-        if self._waiting or self._more:
+        if self._waiting or self._more_messages:
             return True
         return not self.transport.is_closing() and unread(self.transport) > 0
 
@@ -297,10 +310,10 @@
         self._taken = message = self._waiting.popleft()
         self._wanted = None
         self._keep = message.keep_alive and (not self._crowded or self._more_has_come())
-        for held in (self._listener.begun, self._listener.idle):
+        for held in (self._listener.receiving_head, self._listener.idle):
             held.pop(self, None)
         if message.target.partition(b"?")[0] == b"/up":
-            up = self._listener.up
+            up = self._listener.in_service
             self._write(200 if up else 503, b"", b"up\n" if up else b"leaving\n")
             return
         if self._crowded:
@@ -312,34 +325,34 @@
             self._keep = self._keep and self._more_has_come()  # what has come already is answered, too
             self._write(error.status, b"", str(error).encode() + b"\n")
             return
-        self._listener.new.pop(self, None)
-        if not message.body.whole:
-            self._listener.coming.add(self)
-            if b"expect" in message.headers and not message.body.came and not message.old:
+        self._listener.awaiting_first_request.pop(self, None)
+        if not message.body.complete:
+            self._listener.receiving_body.add(self)
+            if b"expect" in message.headers and not message.body.received and not message.is_http_1_0:
                 self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
         self._advance(message)
 
     def _advance(self, message: Message) -> None:
         """Hands the request on: once it is whole, or too long to wait for that."""
         body, wanted, now = message.body, self._wanted, self._listener.now()
-        late = body.whole and self in self._listener.coming
-        self._listener.coming -= {self} if late else set()
+        late = body.complete and self in self._listener.receiving_body
+        self._listener.receiving_body -= {self} if late else set()
         if self._current is not None:
-            body.grew()
-            if body.whole:
+            body.on_update()
+            if body.complete:
                 self._engine.on_body_complete(self._current, message.completed_at)
             return
-        kept = body.came <= BUFFERED or (body.came <= KEPT_WHOLE and not body.room.full)
-        if wanted is None or (not body.whole and kept):
+        kept = body.received <= BUFFERED or (body.received <= KEPT_WHOLE and not body.budget.is_exhausted)
+        if wanted is None or (not body.complete and kept):
             return
         if left(self.transport):  # while this waited: in the listener's line, or behind another request
             self.abort(CloseReason.CLIENT_LEFT)
             return
-        wanted.received_at = message.completed_at if body.whole else now
+        wanted.received_at = message.completed_at if body.complete else now
         if late:  # its length is known now
             wanted.head = head_of(message, wanted.id)
-        elif not body.whole:
-            body.eased = self._ease
+        elif not body.complete:
+            body.on_drained = self._ease
         self._current = wanted.id
         if not self._engine.on_request(wanted, self):
             self._write(409, b"", b"a request with this Request-Id is under way\n")
@@ -365,33 +378,33 @@
         """An answer too long to be held: passed on as it comes, and as the client reads it."""
         assert answer.stream is not None
         self._answer, self._at = answer.stream, 0
-        old = self._taken is not None and self._taken.old
-        self._answer.chunked = self._answer.length is None and not old
-        if old and self._answer.length is None:
+        old = self._taken is not None and self._taken.is_http_1_0
+        self._answer.chunked = self._answer.declared_length is None and not old
+        if old and self._answer.declared_length is None:
             self._keep = False  # only the connection's end tells HTTP/1.0 where it ends
         headers = b"Content-Type: %b\r\n" % answer.content_type if answer.content_type else b""
         if self._answer.chunked:
             headers += b"Transfer-Encoding: chunked\r\n"
-        elif self._answer.length is not None:
-            headers += b"Content-Length: %d\r\n" % self._answer.length
+        elif self._answer.declared_length is not None:
+            headers += b"Content-Length: %d\r\n" % self._answer.declared_length
         if not self._keeps():
             self._keep = False
             headers += b"Connection: close\r\n"
         self._send(b"HTTP/1.1 200 OK\r\n%b\r\n" % headers)
-        self._answer.grew = self._pass_on
+        self._answer.on_update = self._pass_on
         self._pass_on()
 
     def _pass_on(self) -> None:
         while (body := self._answer) and not self._full and not self.transport.is_closing():
-            if body.broken:  # cut short: without its last byte or chunk, the client can tell
+            if body.truncated:  # cut short: without its last byte or chunk, the client can tell
                 self.abort(CloseReason.ANSWER_BROKEN)
                 return
-            if self._at == body.came and not body.whole:
+            if self._at == body.received and not body.complete:
                 return
-            data, self._at = body.framed(self._at)
+            data, self._at = body.encode(self._at)
             self._send(data)
-            body.drop(self._at)
-            if body.whole and self._at == body.came:
+            body.discard(self._at)
+            if body.complete and self._at == body.received:
                 self._answer = self._current = None
                 body.release()
                 self._end()
@@ -408,9 +421,9 @@
     def _keeps(self) -> bool:
         if not (self._keep and self._whole):
             return False
-        if self._lost_framing and not self._waiting:
+        if self._framing_lost and not self._waiting:
             return False
-        return not self._listener.leaving or self._more_has_come()  # which is answered first
+        return not self._listener.is_draining or self._more_has_come()  # which is answered first
 
     def _send(self, data: bytes) -> None:
         self._written += len(data)
@@ -449,12 +462,12 @@
                 self._rest()
             self._ease()
             return
-        sending = not self._whole or self._lost_framing or self._begun
+        sending = not self._whole or self._framing_lost or self._in_message
         if not self.transport.is_closing() and (sending or unread(self.transport)):
             # Closing now would reset what the client may not have read yet, as it is still sending.
             self._closing(CloseReason.LAST_ANSWER)
             self._let_go()
-            for held in (listener.new, listener.begun, listener.idle):
+            for held in (listener.awaiting_first_request, listener.receiving_head, listener.idle):
                 held.pop(self, None)
             listener.lingering[self] = listener.now()
             self.transport.write_eof()
@@ -467,23 +480,23 @@
 
     def _rest(self) -> None:
         listener, now = self._listener, self._listener.now()
-        if self._begun:
-            listener.begun[self] = now
+        if self._in_message:
+            listener.receiving_head[self] = now
         else:
             listener.idle[self] = now
-            if len(listener.idle) > listener.idle_most:
-                next(iter(listener.idle)).close_if_quiet()
-        listener.new.pop(self, None)
+            if len(listener.idle) > listener.max_idle:
+                next(iter(listener.idle)).close_if_idle()
+        listener.awaiting_first_request.pop(self, None)
 
     def pause_writing(self) -> None:
         """The client does not read on: nothing more is answered meanwhile."""
         self._full = True
-        self._listener.choked[self] = self._listener.now()
+        self._listener.write_blocked[self] = self._listener.now()
 
     def resume_writing(self) -> None:
         """The client has read on."""
         self._full = False
-        self._listener.choked.pop(self, None)
+        self._listener.write_blocked.pop(self, None)
         self._pass_on()
         self._resume()
 
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -35,20 +35,27 @@
         now: Callable[[], int],
         room: MemoryBudget | None = None,
     ) -> None:
-        self.room = room or MemoryBudget()
-        self.engine, self.share, self.top, self.now = engine, sockets.clients, sockets.top, now
+        self.memory_budget = room or MemoryBudget()
+        self.engine, self.descriptors, self.hard_limit, self.now = (
+            engine,
+            sockets.clients,
+            sockets.client_hard_limit,
+            now,
+        )
         self.requests = RequestReader(engine.settings, engine.names)
         self.stopping = False  # for good, at SIGTERM
-        self.handed = False  # another process accepts
-        self.draining = False  # for as long as operators want
-        self.idle_most = max(4, self.share.most // 4)  # clients, too, have only so many connections
+        self.handed_over = False  # another process accepts
+        self.out_of_service = False  # for as long as operators want
+        self.max_idle = max(4, self.descriptors.limit // 4)  # clients, too, have only so many connections
         # Each with the moment since when, the longest first. A connection is in one of the first three when
         # no request of it is open: none has come whole yet, the next has begun, none is on the way.
-        self.new: dict[ClientConnection, int] = {}
-        self.begun: dict[ClientConnection, int] = {}
+        self.awaiting_first_request: dict[ClientConnection, int] = {}
+        self.receiving_head: dict[ClientConnection, int] = {}
         self.idle: dict[ClientConnection, int] = {}
-        self.choked: dict[ClientConnection, int] = {}  # the client does not read what it is sent
-        self.coming: set[ClientConnection] = set()  # a request's head has come, and its body is coming
+        self.write_blocked: dict[ClientConnection, int] = {}  # the client does not read what it is sent
+        self.receiving_body: set[ClientConnection] = (
+            set()
+        )  # a request's head has come, and its body is coming
         self.lingering: dict[ClientConnection, int] = {}  # answered, and then what still comes is thrown away
         self.connections: set[ClientConnection] = set()
         self._sweep: asyncio.TimerHandle | None = None
@@ -56,8 +63,8 @@
         self._ticked: tuple[int, float] | None = (
             None  # the last sweep: when (us), and the CPU used so far (s)
         )
-        self.share.evict = self._evict
-        self.share.freed = self.resume
+        self.descriptors.evict = self._evict
+        self.descriptors.on_freed = self.resume_accepting
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> int:
         """`inherited`: the descriptor of a socket that listens already and that others hold, too. This is a
@@ -78,73 +85,73 @@
 
     def _has_place(self, opening: int) -> bool:
         """Past the top not even refusals can be afforded: clients wait in the queue until others leave."""
-        return self.share.open + opening < self.top
+        return self.descriptors.in_use + opening < self.hard_limit
 
-    def pause(self) -> None:
+    def pause_accepting(self) -> None:
         """What connects from now on waits in the queue."""
         if self._acceptor:
             self._acceptor.pause()
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """Takes connections again, if this process is the one that does and there is room."""
-        if self._acceptor and not self.handed and self._has_place(0):
+        if self._acceptor and not self.handed_over and self._has_place(0):
             self._acceptor.start()
 
     @property
-    def listening(self) -> bool:
+    def is_accepting(self) -> bool:
         """This process takes connections, now or as soon as there is room."""
-        return self._acceptor is not None and not self.handed
+        return self._acceptor is not None and not self.handed_over
 
     def hand_over(self) -> None:
         """Another process accepts from now on, from the same line; what has been accepted here is finished
         here, and a connection that has not asked yet is given its time to.
         """
-        self.handed = self.stopping = True
-        self.pause()
+        self.handed_over = self.stopping = True
+        self.pause_accepting()
 
-    def take_back(self) -> None:
+    def resume_serving(self) -> None:
         """The process that accepted is gone: this one accepts again."""
-        self.handed = self.stopping = False
-        self.resume()
+        self.handed_over = self.stopping = False
+        self.resume_accepting()
 
     @property
-    def leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Connections end with their answers."""
-        return self.stopping or self.draining
+        return self.stopping or self.out_of_service
 
     @property
-    def up(self) -> bool:
+    def in_service(self) -> bool:
         """Whether clients may come. Once another process accepts, they may, if not to this one: a no on a
         connection that is left here would take the whole ingress out of service.
         """
-        return not self.draining and (not self.stopping or self.handed)
+        return not self.out_of_service and (not self.stopping or self.handed_over)
 
-    def drain(self, on: bool) -> None:
+    def set_out_of_service(self, on: bool) -> None:
         """Out of service, and back: unlike a stop, it takes in what still comes, and it can be undone."""
-        self.draining = on
+        self.out_of_service = on
 
-    def begin_stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """New connections still come in; each is closed after its answer, and those that are idle now."""
         self.stopping = True
         for connection in list(self.idle):
-            connection.close_if_quiet()
+            connection.close_if_idle()
 
-    async def take_line(self, until: float) -> None:
+    async def accept_backlog(self, until: float) -> None:
         """Takes in those who wait in line: they are connected, and closing would reset them, requests and
         all. Where there is no room, they wait for it, until then at the longest.
         """
         if self._acceptor:
             await self._acceptor.drain_queue(until, TURN)
 
-    def last_call(self) -> None:
+    def close_remaining(self) -> None:
         """The process is about to end: of those with no request open, the silent are closed, and those in the
         middle of a head are told so.
         """
         for connection in list(self.connections):
-            if connection.busy and connection.stalled(self.now()):
-                connection.garbage(408)
+            if connection.is_busy and connection.is_stalled(self.now()):
+                connection.protocol_error(408)
             else:
-                connection.close_if_quiet()
+                connection.close_if_idle()
 
     def stop_listening(self) -> None:
         """Connections with a request under way are left to end, and those that have not asked yet are given
@@ -167,19 +174,19 @@
         self._sweep = asyncio.get_running_loop().call_later(SWEEP, self._tick)
         now = self.now()
         self._note_delay(now)
-        for connection in _older(self.new, now - int(HALF_SENT * 1e6)):
-            connection.garbage(408)
-        for connection in _older(self.begun, now - int(HALF_SENT * 1e6)):
-            connection.garbage(408)
-        for connection in _older(self.idle, now - int((QUIET if self.leaving else KEPT) * 1e6)):
-            connection.close_if_quiet()
-        for connection in [c for c in self.coming if c.slow(now)]:
-            connection.garbage(408)
+        for connection in _older(self.awaiting_first_request, now - int(HALF_SENT * 1e6)):
+            connection.protocol_error(408)
+        for connection in _older(self.receiving_head, now - int(HALF_SENT * 1e6)):
+            connection.protocol_error(408)
+        for connection in _older(self.idle, now - int((QUIET if self.is_draining else KEPT) * 1e6)):
+            connection.close_if_idle()
+        for connection in [c for c in self.receiving_body if c.is_too_slow(now)]:
+            connection.protocol_error(408)
         for connection in _older(self.lingering, now - int(LINGERS * 1e6)):
             connection.abort(CloseReason.LINGERED)
-        for connection in list(self.choked):
-            connection.reads(now)
-        for connection in [c for c, since in self.choked.items() if since < now - int(UNREAD * 1e6)]:
+        for connection in list(self.write_blocked):
+            connection.note_read_progress(now)
+        for connection in [c for c, since in self.write_blocked.items() if since < now - int(UNREAD * 1e6)]:
             connection.abort(CloseReason.ANSWER_UNREAD)
 
     def _note_delay(self, now: int) -> None:
@@ -200,15 +207,24 @@
             del self.lingering[longest]
             longest.abort(CloseReason.LINGERED)
             return True
-        silent = list(self.new) if len(self.new) > FEW_SILENT else _older(self.new, self.now() - YOUNG)
-        if any(c.close_if_quiet(CloseReason.EVICTED) for c in silent):
+        silent = (
+            list(self.awaiting_first_request)
+            if len(self.awaiting_first_request) > FEW_SILENT
+            else _older(self.awaiting_first_request, self.now() - YOUNG)
+        )
+        if any(c.close_if_idle(CloseReason.EVICTED) for c in silent):
             return True
         before = self.now() - int(STALLED * 1e6)
-        stopped = (c for held in (self.new, self.begun) for c in held if c.stalled(before))
+        stopped = (
+            c
+            for held in (self.awaiting_first_request, self.receiving_head)
+            for c in held
+            if c.is_stalled(before)
+        )
         if (connection := next(stopped, None)) is not None:
-            connection.leave()
+            connection.evict_incomplete()
             return True
-        return any(c.close_if_quiet(CloseReason.EVICTED) for c in (*self.idle, *self.new))
+        return any(c.close_if_idle(CloseReason.EVICTED) for c in (*self.idle, *self.awaiting_first_request))
 
 
 def _older(held: dict[ClientConnection, int], than: int) -> list[ClientConnection]:
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -50,7 +50,7 @@
             raise BadRequest(404, "no such class of requests")
         if message.method.replace(b"HEAD", b"GET") != self._methods[cls]:
             raise BadRequest(405, "this class takes another method")
-        if message.method != b"POST" and (message.body.length or message.body.came):
+        if message.method != b"POST" and (message.body.declared_length or message.body.received):
             raise BadRequest(400, "GET takes no body")
         if headers.get(b"expect", b"100-continue").lower() != b"100-continue":
             raise BadRequest(417, "only 100-continue can be expected")
@@ -99,13 +99,13 @@
 def head_of(message: Message, id: bytes) -> bytes:
     """What a backend is told, up to the time left; the target, the id and the key go on unchanged."""
     headers, body = message.headers, message.body
-    body.chunked = body.length is None and not body.whole
+    body.chunked = body.declared_length is None and not body.complete
     host = headers.get(b"host", b"backend")
     head = b"%b %b HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\n" % (message.method, message.target, host, id)
     if body.chunked:
         head += b"Transfer-Encoding: chunked\r\n"
     elif message.method == b"POST":
-        head += b"Content-Length: %d\r\n" % (body.came if body.whole else body.length or 0)
+        head += b"Content-Length: %d\r\n" % (body.received if body.complete else body.declared_length or 0)
     if key := headers.get(b"idempotency-key"):  # by it the backends know a repeat
         head += b"Idempotency-Key: %b\r\n" % key
     if kind := headers.get(b"content-type"):
--- a/quota_ingress/net/engine/attempts.py
+++ b/quota_ingress/net/engine/attempts.py
@@ -187,4 +187,4 @@
     @property
     def body_forwarded(self) -> bool:
         """Some of its body has gone to a backend and is not held any more."""
-        return self.parsed.body.gone > 0
+        return self.parsed.body.discarded > 0
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -120,7 +120,7 @@
             del self._ids[self._past.popleft()[1]]
         if wanted.id in self._ids:
             return False
-        left = wanted.timeout - (now - wanted.received_at if wanted.body.whole else 0)
+        left = wanted.timeout - (now - wanted.received_at if wanted.body.complete else 0)
         if unheard := self._refused_unheard(left):
             self.trace.event("refused", unheard, id=wanted.id, left_us=left)
             client.reject(0)  # nothing was sent: harmless, and the module never hears of it
@@ -130,7 +130,7 @@
         request = Request(self._next, wanted, client, now + left)
         self._requests[request.number], self._ids[wanted.id] = request, request.number
         self.in_flight += 1
-        if wanted.body.whole:
+        if wanted.body.complete:
             self._run(request, now)
         self._post(
             RequestArrived(
@@ -384,7 +384,7 @@
             return
         if not coming:
             self._wait(request, attempt)
-        held = wanted.body.whole and not wanted.body.long
+        held = wanted.body.complete and not wanted.body.is_long
         attempt.exchange = self.upstream.send(
             backend,
             wanted.head,
@@ -406,7 +406,7 @@
         left = attempt.response_timeout - (0 if request.body_coming else now - attempt.sent_at)
         number, backend = attempt.number, attempt.backend
         self.trace.event("attempt", "begun", id=request.parsed.id, n=number, backend=backend, told_us=left)
-        held = bytes(body.data) if body.whole and not body.long else b""
+        held = bytes(body.data) if body.complete and not body.is_long else b""
         return b"Request-Timeout: %dm\r\n\r\n%b" % (max(1, left // 1000), held)
 
     def _denied(self, request: Request, attempt: Attempt, now: int) -> bool:
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from quota_ingress.net.descriptors import Share
+from quota_ingress.net.descriptors import DescriptorShare
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry
 from quota_ingress.net.engine.attempts import AttemptResult
 from quota_ingress.net.event_log import EventLog
@@ -30,7 +30,7 @@
 FLEET_KEEP = 32  # ... and of all ingresses together: each costs the backend some of what it can do
 
 
-class LinkEnd(Enum):
+class UpstreamCloseReason(Enum):
     """Why a connection to a backend was ended, or had ended."""
 
     IDLE = "idle"
@@ -93,9 +93,9 @@
     ) -> None:
         self.permit = permit
         self.head, self.body, self.at, self._ended, self.started = head, body, 0, ended, started
-        self.keeps = body is not None and body.whole
+        self.keeps = body is not None and body.complete
         self.dial: asyncio.Task[None] | None = None
-        self.link: Link | None = None
+        self.link: UpstreamConnection | None = None
         self.written = self.over = False
         self.moved_at = 0.0  # when some of it was last written or read, on its way through
 
@@ -115,7 +115,7 @@
         if self.dial:
             self.dial.cancel()
         if self.link:
-            self.link.drop(LinkEnd.ABORTED)
+            self.link.drop(UpstreamCloseReason.ABORTED)
         return self.written
 
     def withdraw(self) -> bool:
@@ -124,17 +124,17 @@
         return not self.written
 
     def _leave_body(self) -> None:
-        if self.body and self.link and self.body.grew == self.link.pass_on:
-            self.body.leave()
+        if self.body and self.link and self.body.on_update == self.link.pass_on:
+            self.body.detach_reader()
 
 
-class Link(HttpConnection):
+class UpstreamConnection(HttpConnection):
     """One connection to a backend. The socket is ours, so that a send tells how much was written, a look
     tells whether the connection still stands, and giving up takes effect before anything else is sent.
     """
 
-    def __init__(self, pool: Pool, sock: socket.socket) -> None:
-        super().__init__(httptools.HttpResponseParser, pool.room)
+    def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
+        super().__init__(httptools.HttpResponseParser, pool.budget)
         self.pool, self.sock, self.address = pool, sock, pool.address
         self.exchange: Exchange | None = None
         self.stream: Body | None = None  # the answer that is being passed on
@@ -151,19 +151,19 @@
         """Asks for leave first, as the attempt may not be allowed to begin any more."""
         rest = exchange.permit()
         if rest is None or exchange.over:
-            self.drop(LinkEnd.DENIED)
+            self.drop(UpstreamCloseReason.DENIED)
             exchange.end(AttemptResult(Outcome.NOT_SENT))
             return
         data = exchange.head + rest
         self.exchange, exchange.link = exchange, self
-        self.bodiless = exchange.head.startswith(b"HEAD ")
+        self.expects_no_body = exchange.head.startswith(b"HEAD ")
         exchange.moved_at = self.pool.now()
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.drop(LinkEnd.WRITE_FAILED)
+            self.drop(UpstreamCloseReason.WRITE_FAILED)
             exchange.lost()
             return
         if sent < len(data):  # from here on the last byte may be written at any time
@@ -171,7 +171,7 @@
         if exchange.body is None:
             exchange.written = True
         else:
-            exchange.body.grew = self.pass_on
+            exchange.body.on_update = self.pass_on
             self.pass_on()
 
     def pass_on(self) -> None:
@@ -182,18 +182,18 @@
         body = exchange.body if exchange else None
         if self.dead or exchange is None or body is None:
             return
-        if exchange.at < body.gone:  # its beginning has gone with another attempt
-            self.give_up(LinkEnd.BODY_GONE)
+        if exchange.at < body.discarded:  # its beginning has gone with another attempt
+            self.give_up(UpstreamCloseReason.BODY_GONE)
             return
         while not (self._full or exchange.written or body.released):
-            if exchange.at == body.came and not body.whole:
+            if exchange.at == body.received and not body.complete:
                 return
-            data, exchange.at = body.framed(exchange.at)
-            exchange.written = body.whole and exchange.at == body.came
+            data, exchange.at = body.encode(exchange.at)
+            exchange.written = body.complete and exchange.at == body.received
             exchange.moved_at = self.pool.now()
             self.transport.write(data)
             if not exchange.keeps:
-                body.drop(exchange.at)
+                body.discard(exchange.at)
 
     def pause_writing(self) -> None:
         self._full = True
@@ -212,42 +212,42 @@
             pass
         return False
 
-    def drop(self, reason: LinkEnd) -> None:
+    def drop(self, reason: UpstreamCloseReason) -> None:
         if not self.dead:
             self.dead = True
             self.pool.trace.event("backend connection closed", reason.value, backend=self.pool.name)
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
-            if not self._message.body.whole and self._message.body is not self.stream:
+            if not self._message.body.complete and self._message.body is not self.stream:
                 self._message.body.release()
             self.pool.left(self)
 
-    def came(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         if 100 <= message.status < 200 and self.exchange:
             return
         body, exchange = message.body, self.exchange
         if self.stream is body and exchange:
             exchange.moved_at = self.pool.now()
-            if body.whole:
+            if body.complete:
                 self._whole(message, exchange, AttemptResult(Outcome.OK))
-            body.grew()
+            body.on_update()
             self._ease()
-        elif body.whole:
+        elif body.complete:
             self._whole(message, exchange, _answer(message))
             body.release()
-        elif body.long and message.status == 200 and exchange and exchange.started:
-            if not body.came:
+        elif body.is_long and message.status == 200 and exchange and exchange.started:
+            if not body.received:
                 return
             exchange.moved_at = self.pool.now()
-            self.stream, body.eased = body, self._ease
+            self.stream, body.on_drained = body, self._ease
             answer = _answer(message)
             answer.stream = body
             exchange.started(answer)
             self._ease()
-        elif body.long:  # nobody wants to know how it goes on
+        elif body.is_long:  # nobody wants to know how it goes on
             failed = AttemptResult(Outcome.ERROR) if message.status == 200 else _answer(message)
-            self.give_up(LinkEnd.UNWANTED, failed)
+            self.give_up(UpstreamCloseReason.UNWANTED, failed)
 
     def _whole(self, message: Message, exchange: Exchange | None, answer: AttemptResult) -> None:
         self.exchange = self.stream = None
@@ -258,10 +258,10 @@
             self.pool.kept.ended(well=True)
         # Answered before it had all been read, or more said than was asked for: a copy of the answer right
         # behind it would be taken for the next request's.
-        more = self._more or self._begun or self._lost_framing
+        more = self._more_messages or self._in_message or self._framing_lost
         unsound = self.transport.get_write_buffer_size() > 0 or more or (exchange and not exchange.written)
         if exchange is None or not message.keep_alive or unsound:
-            self.drop(LinkEnd.NOT_REUSABLE)
+            self.drop(UpstreamCloseReason.NOT_REUSABLE)
         elif not self.dead:
             self.pool.rest(self)
         if exchange:
@@ -269,14 +269,14 @@
 
     def _ease(self) -> None:
         """Reads no faster than the client does."""
-        body, room = self.stream, self.pool.room
+        body, room = self.stream, self.pool.budget
         if body is None or self.dead:
             return
-        most = 0 if room.full else BUFFERED
-        if body.held > most and not self._paused:
+        most = 0 if room.is_exhausted else BUFFERED
+        if body.buffered > most and not self._paused:
             self._paused = True
             self.transport.pause_reading()
-        elif body.held <= most // 2 and self._paused:
+        elif body.buffered <= most // 2 and self._paused:
             self._paused = False
             if self.exchange:
                 self.exchange.moved_at = self.pool.now()
@@ -290,38 +290,38 @@
         unread = exchange.body is not None and not exchange.written and self._full
         return unread or self.stream is not None
 
-    def garbage(self, status: int) -> None:
+    def protocol_error(self, status: int) -> None:
         """It has answered, so it is up and may have run the request; a reset would say that it is down."""
-        log.warning("backend %s: answer not understood: %s", self.pool.name, self.wrong)
-        self.give_up(LinkEnd.NOT_UNDERSTOOD, AttemptResult(Outcome.ERROR))
+        log.warning("backend %s: answer not understood: %s", self.pool.name, self.error_text)
+        self.give_up(UpstreamCloseReason.NOT_UNDERSTOOD, AttemptResult(Outcome.ERROR))
 
-    def give_up(self, reason: LinkEnd, answer: AttemptResult | None = None) -> None:
+    def give_up(self, reason: UpstreamCloseReason, answer: AttemptResult | None = None) -> None:
         """The attempt has failed, and with it the connection: an answer that was begun is cut short."""
         exchange, self.exchange = self.exchange, None
         self.drop(reason)
         stream, self.stream = self.stream, None
         if stream:
-            stream.cut()
+            stream.truncate()
         if exchange and answer:
             exchange.end(answer)
         elif exchange:
             exchange.lost()
 
     def eof_received(self) -> None:
-        self.ended_by_close()
+        self.complete_at_eof()
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        if self.kept and self.exchange and not (self._begun or self._lost_framing):
+        if self.kept and self.exchange and not (self._in_message or self._framing_lost):
             self.pool.kept.ended(well=False)
-        self.give_up(LinkEnd.BY_BACKEND)
+        self.give_up(UpstreamCloseReason.BY_BACKEND)
 
 
 def _answer(message: Message) -> AttemptResult:
     headers, status = message.headers, message.status
     load, kind = headers.get(b"server-load", b""), headers.get(b"content-type", b"")
     if status == 200:
-        body = bytes(message.body.data) if message.body.whole else b""
+        body = bytes(message.body.data) if message.body.complete else b""
         return AttemptResult(Outcome.OK, body, kind, load, declared_length=_told_length(headers))
     if status in (503, 504) and headers.get(b"not-started") == b"1":
         return AttemptResult(Outcome.REJECTED, load=load)
@@ -333,7 +333,7 @@
     return headers.get(b"content-length", b"")
 
 
-class Kept:
+class ReuseFailureRate:
     """How often connections that were kept end at the next request, not a byte of an answer come."""
 
     def __init__(self) -> None:
@@ -343,11 +343,12 @@
         self.failing += FORGET * ((0.0 if well else 1.0) - self.failing)
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one backend."""
 
     __slots__ = (
         "address",
+        "budget",
         "busy",
         "dials",
         "idle",
@@ -356,7 +357,6 @@
         "name",
         "now",
         "ready",
-        "room",
         "share",
         "started",
         "trace",
@@ -365,14 +365,14 @@
     def __init__(
         self,
         entry: EndpointEntry,
-        share: Share,
-        kept: Kept,
+        share: DescriptorShare,
+        kept: ReuseFailureRate,
         room: MemoryBudget,
         keep: int,
         trace: EventLog | None = None,
     ) -> None:
         self.keep, self.trace = keep, trace or EventLog()
-        self.name, self.address, self.share, self.kept, self.room = (
+        self.name, self.address, self.share, self.kept, self.budget = (
             entry.name,
             entry.address,
             share,
@@ -381,27 +381,27 @@
         )
         self.now = asyncio.get_running_loop().time
         self.ready, self.started = entry.status == "up", entry.started_us
-        self.idle: list[Link] = []  # the most recently used last
-        self.busy: set[Link] = set()
+        self.idle: list[UpstreamConnection] = []  # the most recently used last
+        self.busy: set[UpstreamConnection] = set()
         self.dials: set[Exchange] = set()
 
-    def rest(self, link: Link) -> None:
+    def rest(self, link: UpstreamConnection) -> None:
         self.busy.discard(link)
         if self.ready and link.address == self.address:
             link.idle_since = asyncio.get_running_loop().time()
             self.idle.append(link)
             if len(self.idle) > self.keep:
-                self.idle[0].drop(LinkEnd.EVICTED)
+                self.idle[0].drop(UpstreamCloseReason.EVICTED)
         else:
-            link.drop(LinkEnd.WITHDRAWN)
+            link.drop(UpstreamCloseReason.WITHDRAWN)
 
-    def left(self, link: Link) -> None:
-        self.share.closed()
+    def left(self, link: UpstreamConnection) -> None:
+        self.share.release()
         self.busy.discard(link)
         if link in self.idle:
             self.idle.remove(link)
 
-    def take(self, oldest: float) -> Link | None:
+    def take(self, oldest: float) -> UpstreamConnection | None:
         """The most recently used connection that surely still stands; those that may be dying are closed."""
         rested = self.now() - RESTS
         for link in reversed(self.idle[:]):
@@ -412,16 +412,18 @@
                 link.kept = True
                 self.busy.add(link)
                 return link
-            link.drop(LinkEnd.IDLE if link.idle_since <= oldest else LinkEnd.NOT_STANDING)
+            link.drop(
+                UpstreamCloseReason.IDLE if link.idle_since <= oldest else UpstreamCloseReason.NOT_STANDING
+            )
         return None
 
-    def close_idle(self, reason: LinkEnd) -> None:
+    def close_idle(self, reason: UpstreamCloseReason) -> None:
         for link in self.idle[:]:
             link.drop(reason)
 
     def withdraw(self) -> None:
         """Attempts that wait for a connection have not been written, and will not be."""
-        self.close_idle(LinkEnd.WITHDRAWN)
+        self.close_idle(UpstreamCloseReason.WITHDRAWN)
         for exchange in list(self.dials):
             if exchange.dial:
                 exchange.dial.cancel()
@@ -431,7 +433,7 @@
 class UpstreamClient:
     def __init__(
         self,
-        share: Share,
+        share: DescriptorShare,
         conn_idle_us: int,
         connect_timeout_us: int,
         room: MemoryBudget | None = None,
@@ -443,9 +445,9 @@
         self._room = room or MemoryBudget()
         self._share, self._idle = share, conn_idle_us / 1e6 * IDLE_PART
         self._connect_timeout = connect_timeout_us / 1e6
-        self._pools: dict[int, Pool] = {}
+        self._pools: dict[int, ConnectionPool] = {}
         self._void: set[int] = set()  # of these: what they hold leads nowhere, or must not be used
-        self._kept = Kept()
+        self._kept = ReuseFailureRate()
         self._loop = asyncio.get_running_loop()
         self._sweep: asyncio.TimerHandle | None = None
         share.evict = self._evict
@@ -457,7 +459,7 @@
         for pool in self._pools.values():
             pool.withdraw()
             for link in list(pool.busy):
-                link.drop(LinkEnd.PROCESS_END)
+                link.drop(UpstreamCloseReason.PROCESS_END)
 
     # The list.
 
@@ -465,7 +467,7 @@
         pool = self._pools.get(backend)
         if pool is None:
             if entry.status != "removed":
-                self._pools[backend] = Pool(
+                self._pools[backend] = ConnectionPool(
                     entry, self._share, self._kept, self._room, self._keep, self._trace
                 )
             return
@@ -505,11 +507,11 @@
             self._trace.event("connect", "not listed as up", backend=backend)
             exchange.lost()
             return exchange
-        new = once and self._kept.failing > FRAGILE and self._share.room()
+        new = once and self._kept.failing > FRAGILE and self._share.has_capacity()
         if not new and (link := pool.take(self._loop.time() - self._idle)):
             link.send(exchange)
-        elif self._share.room():
-            self._share.open += 1
+        elif self._share.has_capacity():
+            self._share.in_use += 1
             pool.dials.add(exchange)
             exchange.dial = self._loop.create_task(self._connect(pool, exchange))
             exchange.dial.add_done_callback(lambda task: self._dialled(pool, exchange))
@@ -518,9 +520,9 @@
             exchange.lost()
         return exchange
 
-    async def _connect(self, pool: Pool, exchange: Exchange) -> None:
+    async def _connect(self, pool: ConnectionPool, exchange: Exchange) -> None:
         sock: socket.socket | None = None
-        link: Link | None = None
+        link: UpstreamConnection | None = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -528,7 +530,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, buffer, KERNEL_BUFFER)
             async with asyncio.timeout(self._connect_timeout):
                 await self._loop.sock_connect(sock, pool.address)
-                link = Link(pool, sock)
+                link = UpstreamConnection(pool, sock)
                 await self._loop.create_connection(lambda: link, sock=sock)
         except (OSError, ValueError) as error:  # refused, timed out, out of descriptors
             self._trace.event("connect", type(error).__name__, backend=pool.name)
@@ -537,21 +539,21 @@
             pool.dials.discard(exchange)
             exchange.dial = None
             if link is None or not hasattr(link, "transport"):
-                self._share.closed()
+                self._share.release()
                 if sock:
                     sock.close()
             elif exchange.over:
-                link.drop(LinkEnd.DENIED)
+                link.drop(UpstreamCloseReason.DENIED)
             else:
                 pool.busy.add(link)
                 link.send(exchange)
 
-    def _dialled(self, pool: Pool, exchange: Exchange) -> None:
+    def _dialled(self, pool: ConnectionPool, exchange: Exchange) -> None:
         """A task that is cancelled before its first step never runs, what cleans up behind it included."""
         if exchange in pool.dials:
             pool.dials.discard(exchange)
             exchange.dial = None
-            self._share.closed()
+            self._share.release()
 
     def probe(self, backend: int, ended: Ended) -> None:
         exchange = self.send(backend, b"GET /metrics/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", ended)
@@ -565,14 +567,14 @@
 
     def close_idle_connections(self, backend: int) -> None:
         if pool := self._pools.get(backend):
-            pool.close_idle(LinkEnd.IDLE)
+            pool.close_idle(UpstreamCloseReason.IDLE)
 
     # Idle connections.
 
     def _evict(self) -> bool:
         for pool in self._pools.values():
             if pool.idle:
-                pool.idle[0].drop(LinkEnd.EVICTED)
+                pool.idle[0].drop(UpstreamCloseReason.EVICTED)
                 return True
         return False
 
@@ -580,8 +582,8 @@
         oldest = self._loop.time() - self._idle
         for pool in self._pools.values():
             while pool.idle and pool.idle[0].idle_since <= oldest:
-                pool.idle[0].drop(LinkEnd.IDLE)
+                pool.idle[0].drop(UpstreamCloseReason.IDLE)
             for link in [x for x in pool.busy if x.stuck(self._loop.time() - STUCK)]:
                 log.warning("backend %s: stuck half way through a body", pool.name)
-                link.give_up(LinkEnd.STUCK)
+                link.give_up(UpstreamCloseReason.STUCK)
         self._sweep = self._loop.call_later(SWEEP, self._tick)
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -188,7 +188,7 @@
     await ingress.script.seen(RequestArrived)
     monkeypatch.setattr(listener_module, "QUIET", 0.0)
     monkeypatch.setattr(listener_module, "KEPT", 1000.0)
-    ingress.listener.drain(True)
+    ingress.listener.set_out_of_service(True)
     async with asyncio.timeout(10):
         assert await idle.read() == b""  # long before an idle connection is closed otherwise
     assert (await ingress.ask(up)).startswith(b"HTTP/1.1 503 ")
@@ -200,7 +200,7 @@
     assert b"Connection: close" in second and await busy.read() == b""
     late = await ingress.ask(request("late"))  # what comes all the same is served
     assert late.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in late
-    ingress.listener.drain(False)
+    ingress.listener.set_out_of_service(False)
     assert (await ingress.ask(up)).startswith(b"HTTP/1.1 200 ")
     assert b"Connection: close" not in await ingress.ask(request("r3"))
     for writer in (idle_writer, busy_writer):
@@ -218,14 +218,14 @@
         await asyncio.sleep(0)
     ends = []
     listener = ingress.listener
-    for state in (listener.hand_over, lambda: listener.drain(True), listener.begin_stop):
+    for state in (listener.hand_over, lambda: listener.set_out_of_service(True), listener.begin_shutdown):
         state()
         reader, writer = open_ones[len(ends)]
         writer.write(up)
         answer = await read_answer(reader)
         assert b"Connection: close" in answer
         ends.append(answer.split(b" ")[1])
-        ingress.listener.drain(False)
+        ingress.listener.set_out_of_service(False)
         writer.close()
     assert ends == [b"200", b"503", b"200"]
     ingress.stop()
--- a/tests/test_net_arrival.py
+++ b/tests/test_net_arrival.py
@@ -61,12 +61,12 @@
 async def test_a_request_that_waited_to_be_accepted_has_what_is_left(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", timeout="2000m"))
     sent = time.monotonic()
     await asyncio.sleep(0.8)
-    ingress.listener.resume()
+    ingress.listener.resume_accepting()
     assert await told(backend, "r0") <= TIMEOUT - (time.monotonic() - sent) + SLACK
     writer.close()
 
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -11,7 +11,7 @@
 
 from quota_ingress.net.descriptors import DescriptorBudget
 from quota_ingress.net.engine.attempts import AttemptResult
-from quota_ingress.net.upstream.client import Pool, UpstreamClient
+from quota_ingress.net.upstream.client import ConnectionPool, UpstreamClient
 from quota_ingress.policy.events import Outcome
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, entry
 
@@ -89,7 +89,7 @@
         port = closing.getsockname()[1]
     fleet.list(port=port)
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.in_use == 0
 
 
 async def test_a_connection_that_never_comes_up_never_ran(fleet: Fleet) -> None:
@@ -104,7 +104,7 @@
         assert await fleet.outcome() is Outcome.CONNECT_FAILED
         for filler in fillers:
             filler.close()
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.in_use == 0
 
 
 async def test_out_of_descriptors_never_ran(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -113,7 +113,7 @@
 
     monkeypatch.setattr("quota_ingress.net.upstream.client.socket.socket", none_left)
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.in_use == 0
 
 
 async def test_connections_are_kept_and_carry_one_request_each(fleet: Fleet, at_once: None) -> None:
@@ -121,7 +121,7 @@
     assert len(fleet.server.peers) == 1
     both = fleet.send(), fleet.send()
     assert [(await b).outcome for b in both] == [Outcome.OK] * 2
-    assert len(fleet.server.peers) == 2 and fleet.sockets.open == 2
+    assert len(fleet.server.peers) == 2 and fleet.sockets.in_use == 2
 
 
 async def test_no_request_goes_out_on_a_connection_that_the_backend_has_ended(fleet: Fleet) -> None:
@@ -140,7 +140,7 @@
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     looked: list[str] = []
-    monkeypatch.setattr(Pool, "withdraw", lambda pool: looked.append(pool.name))
+    monkeypatch.setattr(ConnectionPool, "withdraw", lambda pool: looked.append(pool.name))
     for number in range(2, 30):
         fleet.backends.register_endpoint(entry(f"s-{number}", 1, "draining"), number)
     fleet.backends.register_endpoint(entry("s-2", 1, "up"), 2)
@@ -158,7 +158,7 @@
     assert await fleet.outcome() is Outcome.OK
     assert len(server.peers) == 2
     await server.until(lambda: len(server.closed) == 2)
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.in_use == 0
     fleet.backends.stop()
     server.stop()
 
@@ -173,7 +173,7 @@
     with pytest.raises(BrokenPipeError):  # our sending has ended, in the very same step
         link.sock.send(b"x")
     await fleet.server.until(lambda: len(fleet.server.closed) == 1)
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.in_use == 0
 
 
 async def test_an_attempt_given_up_while_connecting_never_ran(fleet: Fleet) -> None:
@@ -264,7 +264,7 @@
 
 
 async def test_links_never_take_more_than_the_backends_share(fleet: Fleet) -> None:
-    fleet.sockets.most = 2
+    fleet.sockets.limit = 2
     fleet.server.heard = lambda peer: None
     sent = [fleet.send() for _ in range(2)]
     assert (await fleet.send()).outcome is Outcome.CONNECT_FAILED
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -217,7 +217,7 @@
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
     taken = asyncio.create_task(ingress.ask(request()))
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
     backend.heard = answers(OK)
@@ -233,7 +233,7 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     writer.write(request())
     answer = await read_answer(reader)
@@ -246,7 +246,7 @@
 async def test_with_few_descriptors_idle_connections_go_first_and_then_requests_are_refused(
     ingress: Ingress,
 ) -> None:
-    ingress.sockets.clients.most, ingress.listener.top = 3, 5
+    ingress.sockets.clients.limit, ingress.listener.hard_limit = 3, 5
     held = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
     for reader, writer in held:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -271,7 +271,7 @@
 
 async def test_those_that_ask_once_and_stay_do_not_use_up_the_connections(ingress: Ingress) -> None:
     """The clients in front have only so many to an ingress: 124 idle ones left none for requests."""
-    ingress.listener.idle_most = 3
+    ingress.listener.max_idle = 3
     held = []
     for _ in range(8):
         held.append(await asyncio.open_connection(HOST, ingress.port))
@@ -286,7 +286,7 @@
 
 
 async def test_hundreds_that_say_nothing_crowd_nobody_out(ingress: Ingress) -> None:
-    ingress.sockets.clients.most, ingress.listener.top = 20, 30
+    ingress.sockets.clients.limit, ingress.listener.hard_limit = 20, 30
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first"))
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
@@ -302,18 +302,18 @@
 async def test_those_that_stop_in_a_head_make_room_and_those_that_are_slow_do_not(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ingress.sockets.clients.most, ingress.listener.top = 4, 8
+    ingress.sockets.clients.limit, ingress.listener.hard_limit = 4, 8
     now = [ingress.listener.now()]
     monkeypatch.setattr(ingress.listener, "now", lambda: now[0])
     half = [await asyncio.open_connection(HOST, ingress.port) for _ in range(4)]
     for _, writer in half:
         writer.write(request("x")[:30])
     slow, slow_writer = half[0]
-    while len([c for c in ingress.listener.new if c._begun]) < 4:
+    while len([c for c in ingress.listener.awaiting_first_request if c._in_message]) < 4:
         await asyncio.sleep(0)
     now[0] += 600_000
     slow_writer.write(request("x")[30:60])
-    while not any(c._heard_at == now[0] for c in ingress.listener.new):
+    while not any(c._last_data_at == now[0] for c in ingress.listener.awaiting_first_request):
         await asyncio.sleep(0)
     assert (await ingress.ask(request("early"))).startswith(b"HTTP/1.1 503 ")  # all may yet go on
     now[0] += 200_000
@@ -381,7 +381,7 @@
     for n in range(300):
         writer.write(request(f"p{n}"))
     async with asyncio.timeout(10):
-        while not ingress.listener.choked:
+        while not ingress.listener.write_blocked:
             await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
     assert connection.transport.get_write_buffer_size() < 200_000
@@ -398,11 +398,13 @@
     """Their descriptors are closed before the loop tells of their end: the kernel knows them no more."""
     ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
     ends[0][1].write(request("x")[:20])
-    while len(ingress.listener.connections) < 2 or not any(c._begun for c in ingress.listener.connections):
+    while len(ingress.listener.connections) < 2 or not any(
+        c._in_message for c in ingress.listener.connections
+    ):
         await asyncio.sleep(0)
     listener = ingress.listener
     for connection in listener.connections:
-        connection._heard_at = 0
+        connection._last_data_at = 0
         connection.pause_writing()
         connection.transport.abort()
     listener._tick()
@@ -418,7 +420,7 @@
         await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
     writer.write(request("first"))  # written at once; the loop has not been back to read it
-    assert connection in ingress.listener.new and not ingress.listener._evict()
+    assert connection in ingress.listener.awaiting_first_request and not ingress.listener._evict()
     assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
     assert connection in ingress.listener.idle
     writer.write(b"G")
@@ -432,7 +434,7 @@
 
 
 async def test_at_the_top_clients_wait_in_line_and_lose_nothing(ingress: Ingress) -> None:
-    ingress.sockets.clients.most, ingress.listener.top = 3, 3
+    ingress.sockets.clients.limit, ingress.listener.hard_limit = 3, 3
     ingress.script.rule = lambda event: []
     ends = []
     for number in range(6):
--- a/tests/test_net_engine.py
+++ b/tests/test_net_engine.py
@@ -114,7 +114,7 @@
 
     def ask(self, id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
         body = Body(MemoryBudget())
-        body.whole = True
+        body.complete = True
         wanted = ParsedRequest(
             id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body
         )
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -12,7 +12,7 @@
 
 from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.engine.attempts import AttemptResult
-from quota_ingress.net.upstream.client import Exchange, LinkEnd, Pool, UpstreamClient
+from quota_ingress.net.upstream.client import ConnectionPool, Exchange, UpstreamClient, UpstreamCloseReason
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
 from quota_ingress.policy.events import (
     AttemptEnded,
@@ -94,14 +94,14 @@
             await asyncio.sleep(0)
     (pool,) = ingress.backends._pools.values()
     if "timer" in begins:
-        next(iter(pool.busy)).give_up(LinkEnd.STUCK)
+        next(iter(pool.busy)).give_up(UpstreamCloseReason.STUCK)
     leave(made, how)
     if "counter" in begins:
         counter.answer(Outcome.OK, 1.0)
     elif "timer" in begins:
         ingress.engine._fire(TOKEN)
     else:
-        next(iter(pool.busy)).give_up(LinkEnd.STUCK)
+        next(iter(pool.busy)).give_up(UpstreamCloseReason.STUCK)
     assert not pool.dials and not pool.busy  # in the same turn of the loop
     assert ingress.script.of(ClientDisconnected)
     (moot,) = [e for e in ingress.script.of(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
@@ -115,7 +115,7 @@
     """Its end is behind requests that are not read, so nobody has told."""
     up, dialling, done, connect = asyncio.Event(), asyncio.Event(), asyncio.Event(), UpstreamClient._connect
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: ConnectionPool, exchange: Exchange) -> None:
         dialling.set()
         await up.wait()
         await connect(self, pool, exchange)
@@ -146,7 +146,7 @@
     async with asyncio.timeout(10):
         assert (await ended).outcome is Outcome.NOT_SENT
     await backend.until(lambda: len(backend.closed) == 1)
-    assert exchange.over and asked(backend) == [] and ingress.sockets.backends.open == 0
+    assert exchange.over and asked(backend) == [] and ingress.sockets.backends.in_use == 0
 
 
 async def test_an_attempt_whose_body_is_half_written_when_the_client_leaves_goes_no_further(
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -455,10 +455,10 @@
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
     alone, one = DescriptorBudget(384, 12), DescriptorBudget(384, 12)
-    one.halve(True)
-    assert 2 * (one.clients.most + one.backends.most) < alone.clients.most + alone.backends.most
-    one.halve(False)
-    assert (one.clients.most, one.backends.most) == (alone.clients.most, alone.backends.most)
+    one.set_shared(True)
+    assert 2 * (one.clients.limit + one.backends.limit) < alone.clients.limit + alone.backends.limit
+    one.set_shared(False)
+    assert (one.clients.limit, one.backends.limit) == (alone.clients.limit, alone.backends.limit)
 
 
 async def test_two_real_processes_one_listener_nothing_lost(tmp_path: Path) -> None:
@@ -521,18 +521,18 @@
     path.write_text(json.dumps(config(counter=None)))
     env = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
     old, new = Ingress(read_config(str(path), env)), Ingress(read_config(str(path), env))
-    top = old.listener.top
+    top = old.listener.hard_limit
     await old.start()
     old.engine._post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
-    assert old.listener.top < top and new.listener.top < top
+    assert old.listener.hard_limit < top and new.listener.hard_limit < top
     assert 7 in new.engine._gateway.accounts  # type: ignore[attr-defined]
-    assert not old.ready() and old.listener.handed and not new.listener.handed
+    assert not old.ready() and old.listener.handed_over and not new.listener.handed_over
     async with asyncio.timeout(10):
         await old.stopping.wait()  # it has nothing left
     await old.stop()
     async with asyncio.timeout(10):
-        while new.listener.top < top:
+        while new.listener.hard_limit < top:
             await asyncio.sleep(0)
     await new.stop()
     listening.close()
--- a/tests/test_net_last_answers.py
+++ b/tests/test_net_last_answers.py
@@ -29,7 +29,7 @@
 
 
 async def test_over_the_clients_share_all_that_has_come_is_answered(ingress: Ingress) -> None:
-    ingress.listener.share.most = 0
+    ingress.listener.descriptors.limit = 0
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1") + request("r2"))
     assert await statuses(reader, 3) == [b"503"] * 3
@@ -39,7 +39,7 @@
 
 async def test_requests_read_together_as_the_process_ends_are_all_answered(ingress: Ingress) -> None:
     """The first one was refused at once, with a close, before the second was looked at."""
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     ingress.engine.fail_all()
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1"))
@@ -63,7 +63,7 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     (connection,) = ingress.listener.connections
     serve = connection.respond
 
@@ -88,7 +88,7 @@
     assert await statuses(resting[0], 1) == [b"200"]
     fresh = await asyncio.open_connection(HOST, ingress.port)
     async with asyncio.timeout(5):
-        while not ingress.listener.new:
+        while not ingress.listener.awaiting_first_request:
             await asyncio.sleep(0)
     assert ingress.listener._evict()
     assert await resting[0].read() == b""
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -14,7 +14,7 @@
 from quota_ingress import __main__ as main_module
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
+from quota_ingress.net.upstream.client import ConnectionPool, Exchange, UpstreamClient
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
 from tests.net_helpers import (
@@ -90,12 +90,12 @@
     backend.heard = answers(OK)
     await ingress.ask(request("k0"))
     backend.heard = lambda peer: None
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await left(writer)
     stays = asyncio.create_task(ingress.ask(request("r1")))
-    ingress.listener.resume()
+    ingress.listener.resume_accepting()
     await backend.until(lambda: b"r1" in asked(backend))
     for peer in backend.peers:
         peer.transport.write(OK)
@@ -109,7 +109,7 @@
     """Also where attempts may not be cancelled: this one has not begun. And the backend is not to blame."""
     up, connect, dialling = asyncio.Event(), UpstreamClient._connect, asyncio.Event()
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: ConnectionPool, exchange: Exchange) -> None:
         dialling.set()
         try:
             await up.wait()
@@ -190,7 +190,7 @@
     chosen: list[str] = []
     up, dialling, connect = asyncio.Event(), asyncio.Event(), UpstreamClient._connect
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: ConnectionPool, exchange: Exchange) -> None:
         chosen.append(pool.name)
         dialling.set()
         try:
@@ -249,7 +249,7 @@
     """They are connected, and have sent: closing the listener reset them."""
     monkeypatch.setattr(main_module, "ACCEPTS_ON", 0.0)
     backend.heard = answers(OK)
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
     for _ in range(3):  # connecting and sending take a turn of the loop each
         await asyncio.sleep(0)
@@ -269,7 +269,7 @@
         await asyncio.sleep(0)
     open_one = asyncio.create_task(ingress.ask(request("r0")))
     await backend.until(lambda: asked(backend) == [b"r0"])
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     ingress.engine.fail_all()
     assert (await open_one).startswith(b"HTTP/1.1 504 ")
@@ -286,10 +286,12 @@
     silent, silent_writer = await asyncio.open_connection(HOST, ingress.port)
     half, half_writer = await asyncio.open_connection(HOST, ingress.port)
     half_writer.write(request("r0")[:20])
-    while sum(c._begun for c in ingress.listener.connections) < 1 or len(ingress.listener.connections) < 2:
+    while (
+        sum(c._in_message for c in ingress.listener.connections) < 1 or len(ingress.listener.connections) < 2
+    ):
         await asyncio.sleep(0)
-    ingress.listener.begin_stop()
-    ingress.listener.last_call()
+    ingress.listener.begin_shutdown()
+    ingress.listener.close_remaining()
     async with asyncio.timeout(connection_module.HALF_SENT - 0.5):  # no sweep has ended them first
         assert await silent.read() == b""
         assert (await half.read()).startswith(b"HTTP/1.1 408 ")
--- a/tests/test_net_send_rules.py
+++ b/tests/test_net_send_rules.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from quota_ingress.net.descriptors import Share
+from quota_ingress.net.descriptors import DescriptorShare
 from quota_ingress.net.engine.attempts import Attempt, AttemptResult, ParsedRequest, Request
 from quota_ingress.net.engine.send_rules import HELD_UP, Denial, denial
 from quota_ingress.net.http import Body, MemoryBudget
-from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
+from quota_ingress.net.upstream.client import ConnectionPool, Exchange, UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, RequestArrived
 from quota_ingress.policy.settings import Idempotency
@@ -39,7 +39,7 @@
     """Connections to backends come up that much later."""
     connect = UpstreamClient._connect
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(self: UpstreamClient, pool: ConnectionPool, exchange: Exchange) -> None:
         await asyncio.sleep(seconds)
         await connect(self, pool, exchange)
 
@@ -91,7 +91,7 @@
     backend: PeerServer,
 ) -> None:
     """Both in one turn of the loop: its task was cancelled unstarted, and never gave its place back."""
-    share, ended = Share(10), list[Outcome]()
+    share, ended = DescriptorShare(10), list[Outcome]()
     backends = UpstreamClient(share, 10_000_000, 250_000)
     backends.register_endpoint(entry("s-1", backend.port), 1)
     backends.send(1, b"GET / HTTP/1.1\r\n\r\n", lambda answer: ended.append(answer.outcome))
@@ -101,7 +101,7 @@
     given_up = backends.send(1, b"GET / HTTP/1.1\r\n\r\n", lambda answer: None)
     given_up.abort()
     await asyncio.sleep(0.05)
-    assert ended == [Outcome.CONNECT_FAILED] and share.open == 0 and not backends._pools[1].dials
+    assert ended == [Outcome.CONNECT_FAILED] and share.in_use == 0 and not backends._pools[1].dials
     backends.stop()
 
 
@@ -112,11 +112,11 @@
     assert world.ask()
     room = MemoryBudget()
     body = Body(room)
-    body.length = 300_000
-    body.add(b"x" * 60_000)
+    body.declared_length = 300_000
+    body.append(b"x" * 60_000)
     world.sent[0].started(AttemptResult(Outcome.OK, stream=body))
-    body.add(b"x" * 60_000)  # read before the connection has ended
-    assert world.answers == ["failed"] and world.sent[0].aborted and room.held == 0
+    body.append(b"x" * 60_000)  # read before the connection has ended
+    assert world.answers == ["failed"] and world.sent[0].aborted and room.used == 0
 
 
 # The rules themselves.
@@ -125,7 +125,7 @@
 def made(*attempts: Attempt, over: bool = False) -> tuple[Request, Attempt]:
     """A request with these attempts, and one more that wants to begin."""
     body = Body(MemoryBudget())
-    body.whole = True
+    body.complete = True
     wanted = ParsedRequest(b"a", 0, 0, 7, 1.0, 1, 0, 1_000_000, NOW, False, b"", body)
     asked = Request(1, wanted, World(Script()), UNTIL)
     asked.body_complete_at, asked.answered = NOW, over
@@ -167,5 +167,5 @@
     failed = ended(Outcome.REJECTED)
     assert denial(*made(failed, failed), CLASS, limits, NOW, UNTIL) is Denial.TOO_MANY_ATTEMPTS
     asked, attempt = made()
-    asked.parsed.body.gone = 1
+    asked.parsed.body.discarded = 1
     assert denial(asked, attempt, CLASS, limits, NOW, UNTIL) is Denial.BODY_PASSED_ON
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -55,7 +55,7 @@
 
     @property
     def room(self) -> MemoryBudget:
-        return self.ingress.listener.room
+        return self.ingress.listener.memory_budget
 
 
 @pytest_asyncio.fixture
@@ -100,7 +100,7 @@
     peer.data = b""
     writer.write(request("a2"))
     assert (await read_answer(reader)).endswith(b"warm")
-    assert len(both.server.peers) == 1 and both.room.held == 0
+    assert len(both.server.peers) == 1 and both.room.used == 0
     writer.close()
 
 
@@ -148,7 +148,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
             await (read_chunked(reader) if b"chunked" in framing else reader.readexactly(1048576))
     (ended,) = await both.ingress.script.seen(AttemptEnded)
-    assert ended.outcome is Outcome.RESET and both.room.held == 0
+    assert ended.outcome is Outcome.RESET and both.room.used == 0
     writer.close()
 
 
@@ -160,18 +160,18 @@
     for _ in range(16):
         peer.transport.write(MEGABYTE)
     async with asyncio.timeout(10):
-        while not both.ingress.listener.choked:
+        while not both.ingress.listener.write_blocked:
             await asyncio.sleep(0)
         for _ in range(200):
             await asyncio.sleep(0)
-    assert both.room.held < 8 * BUFFERED
+    assert both.room.used < 8 * BUFFERED
     assert peer.transport.get_write_buffer_size() > 4 * len(MEGABYTE)  # held up where it comes from
     writer.transport.resume_reading()
     async with asyncio.timeout(20):
         await reader.readuntil(b"\r\n\r\n")
         for _ in range(16):
             assert await reader.readexactly(len(MEGABYTE)) == MEGABYTE
-    assert both.room.held == 0
+    assert both.room.used == 0
     writer.close()
 
 
@@ -184,7 +184,7 @@
     (ended,) = await both.ingress.script.seen(AttemptEnded)
     assert ended.outcome is Outcome.CANCELLED
     await both.server.until(lambda: len(both.server.closed) == 1)
-    assert both.room.held == 0 and not both.ingress.engine._requests
+    assert both.room.used == 0 and not both.ingress.engine._requests
 
 
 @pytest.mark.parametrize("chunked", [False, True])
@@ -205,7 +205,7 @@
     async with asyncio.timeout(10):
         for _ in range(300):
             await asyncio.sleep(0)
-    assert both.room.held < KEPT_WHOLE + 8 * BUFFERED and len(peer.data) < len(body) // 2
+    assert both.room.used < KEPT_WHOLE + 8 * BUFFERED and len(peer.data) < len(body) // 2
     both.server.heard = lambda peer: None
     peer.transport.resume_reading()
     last = b"\r\n0\r\n\r\n" if chunked else body[-1000:]
@@ -219,7 +219,7 @@
         feed = asyncio.StreamReader(limit=len(passed))
         feed.feed_data(passed)
         passed = await read_chunked(feed)
-    assert passed == body and both.room.held == 0
+    assert passed == body and both.room.used == 0
     assert len(both.ingress.script.of(RequestArrived)) == 1
     writer.close()
 
@@ -258,7 +258,7 @@
     assert outcomes == [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
     writer.write(MEGABYTE)  # thrown away, so that it does not reset what was answered
     async with asyncio.timeout(10):
-        assert await reader.read() == b"" and both.room.held == 0
+        assert await reader.read() == b"" and both.room.used == 0
     writer.close()
 
 
@@ -275,34 +275,34 @@
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
     assert [e.outcome for e in both.ingress.script.of(AttemptEnded)] == [Outcome.CANCELLED]
     await both.server.until(lambda: len(both.server.closed) == 1)
-    assert both.room.held == 0
+    assert both.room.used == 0
     writer.close()
 
 
 def test_a_body_is_given_time_by_its_progress() -> None:
     class Nobody:
-        room, engine = MemoryBudget(), None
+        memory_budget, engine = MemoryBudget(), None
 
     connection = connection_module.ClientConnection(Nobody())  # type: ignore[arg-type]
     connection._taken, body = connection._message, connection._message.body
-    body.add(b"x" * 160_000)  # five seconds' worth, behind 2.5 s for the head
-    connection._heard_at = 7_000_000
-    assert not connection.slow(7_400_000) and connection.slow(7_600_000)
-    body.add(b"x" * 10_000_000)  # it was fast, and then it stopped
-    assert not connection.slow(8_900_000) and connection.slow(9_100_000)
+    body.append(b"x" * 160_000)  # five seconds' worth, behind 2.5 s for the head
+    connection._last_data_at = 7_000_000
+    assert not connection.is_too_slow(7_400_000) and connection.is_too_slow(7_600_000)
+    body.append(b"x" * 10_000_000)  # it was fast, and then it stopped
+    assert not connection.is_too_slow(8_900_000) and connection.is_too_slow(9_100_000)
     connection._paused = True  # held up here: that time is not the client's
-    assert not connection.slow(60_000_000)
+    assert not connection.is_too_slow(60_000_000)
 
 
 def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
     world = World(Script(sender(timeout=300_000)))
     body = Body(MemoryBudget())
-    body.length = 1_000_000
+    body.declared_length = 1_000_000
     wanted = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
     assert world.engine.on_request(wanted, world)
     world.pass_time(30_000_000)  # a slow client: neither its deadline nor the attempt's runs
     assert not world.answers and not world.sent[0].aborted
-    body.whole = True
+    body.complete = True
     world.engine.on_body_complete(b"a", world.time)
     world.pass_time(299_000)
     assert not world.sent[0].aborted
