--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -7,7 +7,7 @@
 
 from quota_ingress.net.descriptors import DescriptorShare
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.net.upstream.close_reason import UpstreamCloseReason
@@ -36,20 +36,20 @@
         connect_timeout_us: int,
         budget: MemoryBudget | None = None,
         fleet_size: int = 1,
-        trace: EventLog | None = None,
+        event_log: EventLog | None = None,
     ) -> None:
         """Starts the sweep of idle and stalled connections; it runs until `stop`.
 
         `idle_timeout_us` is the backends' own; `fleet_size` counts the gateways that share the backends.
         """
-        self._trace = trace or EventLog()
+        self._event_log = event_log or EventLog()
         self._descriptors = descriptors
         self._reuse_failures = ReuseFailureRate()
         self._options = PoolOptions(
             descriptors=descriptors,
             budget=budget or MemoryBudget(),
             reuse_failures=self._reuse_failures,
-            trace=self._trace,
+            event_log=self._event_log,
             max_idle_connections=min(MAX_IDLE_PER_BACKEND, max(1, MAX_FLEET_IDLE_PER_BACKEND // fleet_size)),
             idle_timeout_s=idle_timeout_us / US_PER_S * IDLE_TIMEOUT_FRACTION,
             connect_timeout_s=connect_timeout_us / US_PER_S,
@@ -114,7 +114,7 @@
         exchange = Exchange(head, on_ended, body, on_stream_started, authorize)
         pool = self._pools.get(backend)
         if pool is None or not pool.accepts_requests:
-            self._trace.event("connect", "not listed as up", backend=backend)
+            self._event_log.event("connect", "not listed as up", backend=backend)
             exchange.fail()
             return exchange
         reuse_is_risky = non_idempotent and self._reuse_failures.value > MAX_REUSE_FAILURE_RATE
--- a/quota_ingress/net/upstream/connection.py
+++ b/quota_ingress/net/upstream/connection.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import (
     BODY_BUFFER_BYTES,
@@ -35,7 +35,7 @@
     address: tuple[str, int]
     now: Callable[[], float]
     budget: MemoryBudget
-    trace: EventLog
+    event_log: EventLog
 
     def park_idle(self, connection: UpstreamConnection) -> None:
         """Keeps it for a further request."""
@@ -149,7 +149,7 @@
         if self.closed:
             return
         self.closed = True
-        self.owner.trace.event("backend connection closed", reason.value, backend=self.owner.name)
+        self.owner.event_log.event("backend connection closed", reason.value, backend=self.owner.name)
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.transport.abort()
--- a/quota_ingress/net/upstream/exchange.py
+++ b/quota_ingress/net/upstream/exchange.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.http import Body
 from quota_ingress.net.upstream.close_reason import UpstreamCloseReason
 from quota_ingress.policy.events import Outcome
--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -39,7 +39,7 @@
     descriptors: DescriptorShare
     budget: MemoryBudget
     reuse_failures: ReuseFailureRate
-    trace: EventLog
+    event_log: EventLog
     max_idle_connections: int  # of one backend
     idle_timeout_s: float
     connect_timeout_s: float
@@ -60,7 +60,7 @@
         "name",
         "now",
         "started_us",
-        "trace",
+        "event_log",
     )
 
     def __init__(self, entry: EndpointEntry, options: PoolOptions) -> None:
@@ -71,7 +71,7 @@
         self.started_us = entry.started_us
         self.accepts_requests = entry.status == "up"
         self.budget = options.budget
-        self.trace = options.trace
+        self.event_log = options.event_log
         self.now = self._loop.time  # s
         self.idle: list[UpstreamConnection] = []  # the most recently used last
         self.busy: set[UpstreamConnection] = set()
@@ -88,7 +88,7 @@
             exchange.dial = self._loop.create_task(self._connect(exchange))
             exchange.dial.add_done_callback(lambda task: self._dial_done(exchange))
         else:
-            self.trace.event("connect", "no descriptor", backend=self.name)
+            self.event_log.event("connect", "no descriptor", backend=self.name)
             exchange.fail()
 
     def park_idle(self, connection: UpstreamConnection) -> None:
@@ -181,7 +181,7 @@
                 connection = UpstreamConnection(self, sock)
                 await self._loop.create_connection(lambda: connection, sock=sock)
         except (OSError, ValueError) as error:  # refused, timed out, out of descriptors
-            self.trace.event("connect", type(error).__name__, backend=self.name)
+            self.event_log.event("connect", type(error).__name__, backend=self.name)
             exchange.fail()
         finally:
             self._dial_ended(exchange, sock, connection)
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -11,7 +11,7 @@
 import pytest_asyncio
 
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.engine.attempts import AttemptResult
+from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.upstream.close_reason import UpstreamCloseReason
 from quota_ingress.net.upstream.exchange import Exchange
 from quota_ingress.net.upstream.pool import ConnectionPool
@@ -101,7 +101,7 @@
     if "counter" in begins:
         counter.answer(Outcome.OK, 1.0)
     elif "timer" in begins:
-        ingress.engine._fire(TOKEN)
+        ingress.engine.on_timer(TOKEN)
     else:
         next(iter(pool.busy)).fail_exchange(UpstreamCloseReason.STALLED)
     assert not pool.dials and not pool.busy  # in the same turn of the loop
