--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -16,7 +16,7 @@
 from quota_ingress.net.engine import snapshot_codec
 from quota_ingress.net.engine.attempt_runner import AttemptRunner
 from quota_ingress.net.engine.endpoint_registry import EndpointRegistry
-from quota_ingress.net.engine.ports import AttemptResult, Client, CounterClient, Loop, Policy, Upstream
+from quota_ingress.net.engine.ports import AttemptResult, Client, CounterService, Loop, Policy, Upstream
 from quota_ingress.net.engine.requests import ParsedRequest, Request, RequestTable
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.event_log import EventLog
@@ -78,7 +78,7 @@
         self.upstream = upstream
         self.now = now
         self.event_log = event_log or EventLog()
-        self.counter: CounterClient | None = None
+        self.counter: CounterService | None = None
         self.in_flight = 0
         self.ending = False
         self.attempts = AttemptRunner(self, upstream, settings, index, loop, now, self.event_log)
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -6,13 +6,14 @@
 from collections.abc import Iterable
 
 from quota_ingress.net.descriptors import DescriptorShare
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import Body, MemoryBudget
 from quota_ingress.net.upstream.close_reason import UpstreamCloseReason
 from quota_ingress.net.upstream.exchange import Authorize, Exchange, ResultCallback, always_authorized
 from quota_ingress.net.upstream.pool import ConnectionPool, PoolOptions, ReuseFailureRate
+from quota_ingress.policy.endpoint_list import EndpointState
 from quota_ingress.policy.events import Outcome
 
 IDLE_TIMEOUT_FRACTION = 0.75  # of the backend's own idle timeout: ours closes first
@@ -73,12 +74,12 @@
         """Takes in an entry of the endpoint list; `reconcile` then closes what it has made void."""
         pool = self._pools.get(backend)
         if pool is None:
-            if entry.status != "removed":
+            if entry.state is not EndpointState.REMOVED:
                 self._pools[backend] = ConnectionPool(entry, self._options)
             return
-        pool.accepts_requests = entry.status == "up"
+        pool.accepts_requests = entry.state is EndpointState.READY
         restarted = False
-        if entry.status != "removed":
+        if entry.state is not EndpointState.REMOVED:
             restarted = pool.address != entry.address or pool.started_us != entry.started_us
             pool.address = entry.address
             pool.started_us = entry.started_us
--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -8,12 +8,13 @@
 from dataclasses import dataclass
 
 from quota_ingress.net.descriptors import DescriptorShare
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MemoryBudget, limit_socket_buffers
 from quota_ingress.net.upstream.close_reason import UpstreamCloseReason
 from quota_ingress.net.upstream.connection import UpstreamConnection
 from quota_ingress.net.upstream.exchange import Exchange
+from quota_ingress.policy.endpoint_list import EndpointState
 
 REUSE_DELAY_S = 0.02  # after a response: a late copy of it would be taken for the next request's
 REUSE_FAILURE_WEIGHT = 0.02  # of the last reuse in the moving average
@@ -56,11 +57,11 @@
         "budget",
         "busy",
         "dials",
+        "event_log",
         "idle",
         "name",
         "now",
         "started_us",
-        "event_log",
     )
 
     def __init__(self, entry: EndpointEntry, options: PoolOptions) -> None:
@@ -69,7 +70,7 @@
         self.name = entry.name
         self.address = entry.address
         self.started_us = entry.started_us
-        self.accepts_requests = entry.status == "up"
+        self.accepts_requests = entry.state is EndpointState.READY
         self.budget = options.budget
         self.event_log = options.event_log
         self.now = self._loop.time  # s
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -20,17 +20,18 @@
 from ingress_testbed.soak.nodes import free_port
 from quota_ingress.__main__ import Ingress, read_config
 from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
+from quota_ingress.net.discovery.packed_entry import pack_entry
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
 from quota_ingress.net.lifecycle.upgrade import NAME, Handover
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
-from quota_ingress.policy.customer_quota import counter_name
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.lease import counter_name
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, answers, entry, read_answer, request
 from tests.process_helpers import ask, config, listens, start
 
@@ -266,7 +267,7 @@
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while await reader.readline():
             await asyncio.sleep(slow)
-            lines = {"part": {"a": EndpointEntry(listed).packed()}}, {"answer": state}
+            lines = {"part": {"a": pack_entry(decode_endpoint(listed))}}, {"answer": state}
             writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
     server = await asyncio.start_unix_server(answer, tmp_path / NAME)
@@ -374,7 +375,9 @@
     listing = made.restore(
         {"listing": {"index": 0, "snapshot": True, "endpoints": []}, "out": [], "back": {}, "gone": []}
     )
-    listing.packed = {e.name: e.packed() for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))}
+    listing.packed = {
+        e.name: pack_entry(e) for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))
+    }
     old.apply_list(listing)
     old.take_offline("a")
     old.take_offline("b")
@@ -382,11 +385,11 @@
     for part in old.entry_batches():  # as it comes through the channel
         made.restore_entries(json.loads(json.dumps(part)))
     made.apply_list(made.restore(json.loads(json.dumps(old.snapshot()))))
-    told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
+    told = {e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
     made.apply_operator_call("a", out=False)
-    assert heard[-1].entries[0].status == "up" and not made.offline
+    assert heard[-1].entries[0].state is EndpointState.READY and not made.offline
     with pytest.raises(ValueError):
         made.restore(old.snapshot())  # the list itself did not come
 
@@ -411,14 +414,17 @@
     for gateway in (old, new):
         listed(gateway, now)
     number = 0
-    while not (left := old.admission.customers[7].leased_units if number else 0.0):
+    while not (left := old.admission.customers[7].bucket.leased_units if number else 0.0):
         number, now = number + 1, now + 100_000
         lease(old, now, number)
         assert number < 50
     old.fleet.backends[1].limit = 9.0
     carried = old.hand_over()
     new.restore(carried)
-    assert new.admission.customers[7].leased_units == left and old.admission.customers[7].leased_units == 0
+    assert (
+        new.admission.customers[7].bucket.leased_units == left
+        and old.admission.customers[7].bucket.leased_units == 0
+    )
     assert new.fleet.backends[1].limit == 9.0
     actions, asked = lease(new, now, 1)
     assert asked == 0 and any(isinstance(a, SendAttempt) for a in actions)  # from the lease
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -8,7 +8,7 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.downstream.connection import MAX_BUFFERED_REQUEST_BYTES
 from quota_ingress.net.engine.requests import ParsedRequest
@@ -27,7 +27,7 @@
     request,
     send_first,
 )
-from tests.test_net_engine import World, sender
+from tests.support.fake_network import FakeNetwork, sender
 
 MEGABYTE = bytes(range(256)) * 4096
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -43,7 +43,9 @@
         await self.server.start()
         await self.ingress.start()
         box = {"name": "s-1", "address": f"{HOST}:{self.server.port}", "status": "up"}
-        self.ingress.engine.update_endpoints(EndpointList({"index": 1, "snapshot": True, "endpoints": [box]}))
+        self.ingress.engine.update_endpoints(
+            decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": [box]})
+        )
 
     async def connect(self, data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection(HOST, self.ingress.port)
@@ -301,7 +303,7 @@
 
 
 def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
-    world = World(Script(sender(timeout=300_000)))
+    world = FakeNetwork(Script(sender(timeout=300_000)))
     body = Body(MemoryBudget())
     body.declared_length = 1_000_000
     wanted = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
