--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -112,7 +112,7 @@
         if self._requests.is_duplicate(parsed.id, now):
             return False
         waited = now - parsed.received_at
-        time_left = parsed.timeout - (waited if parsed.body.whole else 0)
+        time_left = parsed.timeout - (waited if parsed.body.complete else 0)
         if reason := self._early_rejection(time_left):
             self.event_log.event("refused", reason, id=parsed.id, left_us=time_left)
             client.reject(0)  # nothing was sent: harmless, and the policy never hears of it
@@ -120,7 +120,7 @@
         self.event_log.event("arrived", id=parsed.id, left_us=time_left, waited_us=waited)
         request = self._requests.add(parsed, client, now + time_left)
         self.in_flight += 1
-        if parsed.body.whole:
+        if parsed.body.complete:
             self._start_deadline(request, now)
         self.post(
             RequestArrived(
