--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -24,8 +24,8 @@
 
 from dataclasses import dataclass
 
-from quota_ingress.policy.endpoint_set import COLD_PART
 from quota_ingress.policy.settings import Safety
+from quota_ingress.policy.slow_start import SLOW_START_BUDGET_FRACTION
 
 LONG_AGO = 0
 MAX_CLOCK_STEP_US = 2 * 3600 * 1_000_000  # twice the hour by which a wall clock may be stepped
@@ -112,10 +112,10 @@
 def age_tolerance(safety: Safety) -> int:
     """Returns the microseconds by which ages may be too great without overloading a cold endpoint.
 
-    They are the part of a warm-up that the unused part of the cold budget (COLD_PART) covers at its very
+    They are the part of a warm-up that the unused part of the cold budget (SLOW_START_BUDGET_FRACTION) covers at its very
     start.
     """
     initial = safety.initial_capacity_fraction
     if initial >= 1:
         return 0
-    return int((1 / COLD_PART - 1) * initial / (1 - initial) * safety.warmup_time)
+    return int((1 / SLOW_START_BUDGET_FRACTION - 1) * initial / (1 - initial) * safety.warmup_time)
--- a/tests/test_quiescence.py
+++ b/tests/test_quiescence.py
@@ -152,8 +152,10 @@
         events.step()
     events.run_until_quiet()
     gateway = events.gateway
-    assert not gateway.requests and not gateway.flying and not gateway.admission.pending_calls
-    assert gateway.fleet.out == 0 and not any(b.out for b in gateway.fleet.backends.values())
+    assert not gateway.requests and not gateway.attempts_in_flight and not gateway.admission.pending_calls
+    assert gateway.endpoints.in_flight == 0 and not any(
+        b.in_flight for b in gateway.endpoints.candidates.values()
+    )
     for customer, quota in gateway.admission.customers.items():
         assert quota.in_flight == 0 and not quota.waiting and not quota.lease_requested
         state = quota.hand_over(customer, plan=0)
