--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -112,8 +112,8 @@
 def age_tolerance(safety: Safety) -> int:
     """Returns the microseconds by which ages may be too great without overloading a cold endpoint.
 
-    They are the part of a warm-up that the unused part of the cold budget (SLOW_START_BUDGET_FRACTION) covers at its very
-    start.
+    They are the part of a warm-up that the unused part of the overload budget (SLOW_START_BUDGET_FRACTION)
+    covers at its very start.
     """
     initial = safety.initial_capacity_fraction
     if initial >= 1:
