--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -1,8 +1,9 @@
-"""What a client's sound request looks like, and what of it a backend is told."""
+"""Reads clients' requests by the protocol page, and encodes what is forwarded of them."""
 
 from __future__ import annotations
 
 import re
+from typing import NamedTuple
 
 from quota_ingress.net.engine.requests import ParsedRequest
 from quota_ingress.net.engine.settings_index import SettingsIndex
@@ -11,103 +12,156 @@
 
 REQUEST_ID = re.compile(rb"[0-9A-Za-z._~-]{1,64}")
 IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,255}")
-CUSTOMER = re.compile(rb"(?:^|[;,])\s*customer=([^;,\s]*)")
-HEX16 = re.compile(rb"[0-9a-fA-F]{16}")
-TIMEOUT = re.compile(rb"([0-9]{1,12})([mu])")
-QUOTA = re.compile(rb"(units|spread|first)=([0-9]{1,9}(?:\.[0-9]{1,9})?)")
+CUSTOMER_COOKIE = re.compile(rb"(?:^|[;,])\s*customer=([^;,\s]*)")
+SIXTEEN_HEX_DIGITS = re.compile(rb"[0-9a-fA-F]{16}")
+REQUEST_TIMEOUT = re.compile(rb"([0-9]{1,12})([mu])")
+QUOTA_FIELD = re.compile(rb"(units|spread|first)=([0-9]{1,9}(?:\.[0-9]{1,9})?)")
+QUOTA_FIELDS = 3
 ABSOLUTE_FORM = re.compile(rb"^[Hh][Tt][Tt][Pp]://[^/?#]*/?")
 MAX_CUSTOMER = 1 << 33
+METHODS = (b"GET", b"HEAD", b"POST")
+US_PER_MS = 1000
+MAX_TIMEOUT_DEADLINES = 2  # no client waits past the class's deadline; a little more is tolerated
 
 
-class BadRequest(Exception):
-    """A request that is not sound. `status`: the 4xx that tells the client so, with the message."""
+class InvalidRequestError(Exception):
+    """A request that is invalid. `status` is the 4xx that tells the client so, with the message."""
 
-    def __init__(self, status: int, what: str) -> None:
-        super().__init__(what)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
+class QuotaHeader(NamedTuple):
+    """The parts of X-Quota."""
+
+    units: float
+    gateway_count: int
+    first_gateway: int
+
+
 class RequestParser:
-    """Reads requests by the settings. Nothing of an unsound one reaches the module or a backend."""
+    """Reads requests by the settings. Nothing of an invalid one reaches the policy or a backend."""
 
-    def __init__(self, settings: Settings, names: SettingsIndex) -> None:
-        self.names, self.settings = names, settings
+    def __init__(self, settings: Settings, index: SettingsIndex) -> None:
+        self._settings = settings
+        self._index = index
         self._methods = [
             b"GET" if c.idempotency is Idempotency.IDEMPOTENT else b"POST" for c in settings.classes
         ]
-        self._keyed = [c.idempotency is Idempotency.WITH_KEY for c in settings.classes]
+        self._needs_key = [c.idempotency is Idempotency.WITH_KEY for c in settings.classes]
 
-    def read(self, message: Message) -> ParsedRequest:
-        """The client's request, or BadRequest: a plain 4xx tells the client what is wrong with it."""
-        headers, names = message.headers, self.names
-        if message.method not in (b"GET", b"HEAD", b"POST"):
-            raise BadRequest(405, "only GET, HEAD and POST are known here")
-        if not message.target.startswith(b"/"):  # the absolute form, as for a proxy: backends know the other
-            message.target = ABSOLUTE_FORM.sub(b"/", message.target, count=1)
-        parts = message.target.partition(b"?")[0].split(b"/")
-        cls = names.classes.get(parts[1]) if len(parts) > 1 and not parts[0] else None
-        if cls is None:
-            raise BadRequest(404, "no such class of requests")
-        if message.method.replace(b"HEAD", b"GET") != self._methods[cls]:
-            raise BadRequest(405, "this class takes another method")
-        if message.method != b"POST" and (message.body.declared_length or message.body.received):
-            raise BadRequest(400, "GET takes no body")
+    def parse(self, message: Message) -> ParsedRequest:
+        """Returns the client's request; its body may still be coming.
+
+        Raises:
+            InvalidRequestError: It is not as the protocol requires.
+        """
+        headers = message.headers
+        request_class = self._request_class(message)
         if headers.get(b"expect", b"100-continue").lower() != b"100-continue":
-            raise BadRequest(417, "only 100-continue can be expected")
-        plan = names.plans.get(headers.get(b"x-plan", b""))
+            raise InvalidRequestError(417, "only 100-continue can be expected")
+        plan = self._index.plans.get(headers.get(b"x-plan", b""))
         if plan is None:
-            raise BadRequest(400, "X-Plan is missing or unknown")
-        id = headers.get(b"request-id", b"")
-        if not REQUEST_ID.fullmatch(id):
-            raise BadRequest(400, "Request-Id is missing or invalid")
-        if self._keyed[cls] and not IDEMPOTENCY_KEY.fullmatch(headers.get(b"idempotency-key", b"")):
-            raise BadRequest(400, "Idempotency-Key is missing or invalid")
-        cookies = CUSTOMER.findall(headers.get(b"cookie", b""))
-        customer = int(cookies[0], 16) if len(cookies) == 1 and HEX16.fullmatch(cookies[0]) else MAX_CUSTOMER
-        if customer >= MAX_CUSTOMER:
-            raise BadRequest(400, "cookie customer is missing or invalid")
-        timeout = self._timeout(headers.get(b"request-timeout", b""), cls)
-        units, spread, first = self._quota(headers.get(b"x-quota", b""), plan)
-        retry = headers.get(b"client-retry") == b"1"
-        head = head_of(message, id)
+            raise InvalidRequestError(400, "X-Plan is missing or unknown")
+        request_id = headers.get(b"request-id", b"")
+        if not REQUEST_ID.fullmatch(request_id):
+            raise InvalidRequestError(400, "Request-Id is missing or invalid")
+        key = headers.get(b"idempotency-key", b"")
+        if self._needs_key[request_class] and not IDEMPOTENCY_KEY.fullmatch(key):
+            raise InvalidRequestError(400, "Idempotency-Key is missing or invalid")
+        customer = _customer(headers.get(b"cookie", b""))
+        timeout = self._timeout(headers.get(b"request-timeout", b""), request_class)
+        quota = self._quota(headers.get(b"x-quota", b""), plan)
         return ParsedRequest(
-            id, cls, plan, customer, units, spread, first, timeout, 0, retry, head, message.body
+            id=request_id,
+            request_class=request_class,
+            plan=plan,
+            customer=customer,
+            units=quota.units,
+            gateway_count=quota.gateway_count,
+            first_gateway=quota.first_gateway,
+            timeout=timeout,
+            received_at=0,
+            is_retry=headers.get(b"client-retry") == b"1",
+            head=encode_forwarded_head(message, request_id),
+            body=message.body,
         )
 
-    def _timeout(self, text: bytes, cls: int) -> int:
-        wait, deadline = TIMEOUT.fullmatch(text), self.settings.classes[cls].deadline
-        timeout = int(wait[1]) * (1000 if wait[2] == b"m" else 1) if wait else 0
-        if not 0 < timeout <= 2 * deadline:  # no client waits past the deadline; a little more is no matter
-            raise BadRequest(400, "Request-Timeout is missing or invalid")
+    def _request_class(self, message: Message) -> int:
+        """Returns the class by the first part of the path, whose method must be the request's."""
+        method = message.method
+        if method not in METHODS:
+            raise InvalidRequestError(405, "only GET, HEAD and POST are known here")
+        if not message.target.startswith(b"/"):  # the absolute form, as for a proxy: backends know the other
+            message.target = ABSOLUTE_FORM.sub(b"/", message.target, count=1)
+        path = message.target.partition(b"?")[0].split(b"/")
+        request_class = self._index.classes.get(path[1]) if len(path) > 1 and not path[0] else None
+        if request_class is None:
+            raise InvalidRequestError(404, "no such class of requests")
+        if method.replace(b"HEAD", b"GET") != self._methods[request_class]:
+            raise InvalidRequestError(405, "this class takes another method")
+        if method != b"POST" and (message.body.declared_length or message.body.received):
+            raise InvalidRequestError(400, "GET takes no body")
+        return request_class
+
+    def _timeout(self, text: bytes, request_class: int) -> int:
+        """Returns the time that the client waits, in us, up to the class's deadline."""
+        deadline = self._settings.classes[request_class].deadline
+        parts = REQUEST_TIMEOUT.fullmatch(text)
+        timeout = 0
+        if parts:
+            timeout = int(parts[1]) * (US_PER_MS if parts[2] == b"m" else 1)
+        if not 0 < timeout <= MAX_TIMEOUT_DEADLINES * deadline:
+            raise InvalidRequestError(400, "Request-Timeout is missing or invalid")
         return min(timeout, deadline)
 
-    def _quota(self, text: bytes, plan: int) -> tuple[float, int, int]:
-        parts = [QUOTA.fullmatch(part.strip()) for part in text.split(b",")]
-        values = {part[1]: part[2] for part in parts if part}
+    def _quota(self, text: bytes, plan: int) -> QuotaHeader:
+        """Returns the units asked for, and the set of gateways that the customer comes through."""
+        fields = [QUOTA_FIELD.fullmatch(part.strip()) for part in text.split(b",")]
+        values = {field[1]: field[2] for field in fields if field}
+        if not len(fields) == len(values) == QUOTA_FIELDS:
+            raise InvalidRequestError(400, "X-Quota is missing or invalid")
         try:
-            if not len(parts) == len(values) == 3:
-                raise ValueError
-            units, spread, first = float(values[b"units"]), int(values[b"spread"]), int(values[b"first"])
+            quota = QuotaHeader(float(values[b"units"]), int(values[b"spread"]), int(values[b"first"]))
         except ValueError:
-            raise BadRequest(400, "X-Quota is missing or invalid") from None
-        size = self.settings.fleet_size
-        if not (0 < units <= self.names.max_units[plan] and 0 < spread <= size and first < size):
-            raise BadRequest(400, "X-Quota is out of range")
-        return units, spread, first
+            raise InvalidRequestError(400, "X-Quota is missing or invalid") from None
+        fleet_size = self._settings.fleet_size
+        gateways_exist = 0 < quota.gateway_count <= fleet_size and quota.first_gateway < fleet_size
+        if not (0 < quota.units <= self._index.max_units[plan] and gateways_exist):
+            raise InvalidRequestError(400, "X-Quota is out of range")
+        return quota
 
 
-def head_of(message: Message, id: bytes) -> bytes:
-    """What a backend is told, up to the time left; the target, the id and the key go on unchanged."""
-    headers, body = message.headers, message.body
+def encode_forwarded_head(message: Message, request_id: bytes) -> bytes:
+    """Returns what a backend is sent, up to the time left; target, id and key go on unchanged."""
+    headers = message.headers
+    body = message.body
     body.chunked = body.declared_length is None and not body.complete
     host = headers.get(b"host", b"backend")
-    head = b"%b %b HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\n" % (message.method, message.target, host, id)
+    head = b"%b %b HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\n" % (
+        message.method,
+        message.target,
+        host,
+        request_id,
+    )
     if body.chunked:
         head += b"Transfer-Encoding: chunked\r\n"
     elif message.method == b"POST":
-        head += b"Content-Length: %d\r\n" % (body.received if body.complete else body.declared_length or 0)
-    if key := headers.get(b"idempotency-key"):  # by it the backends know a repeat
+        length = body.received if body.complete else body.declared_length or 0
+        head += b"Content-Length: %d\r\n" % length
+    if key := headers.get(b"idempotency-key"):
         head += b"Idempotency-Key: %b\r\n" % key
-    if kind := headers.get(b"content-type"):
-        head += b"Content-Type: %b\r\n" % kind
+    if content_type := headers.get(b"content-type"):
+        head += b"Content-Type: %b\r\n" % content_type
     return head
+
+
+def _customer(cookie_header: bytes) -> int:
+    """Returns the customer's number, from the one cookie that gives it in 16 hex digits."""
+    cookies = CUSTOMER_COOKIE.findall(cookie_header)
+    if len(cookies) == 1 and SIXTEEN_HEX_DIGITS.fullmatch(cookies[0]):
+        customer = int(cookies[0], 16)
+        if customer < MAX_CUSTOMER:
+            return customer
+    raise InvalidRequestError(400, "cookie customer is missing or invalid")
--- /dev/null
+++ b/quota_ingress/net/downstream/socket_state.py
@@ -0,0 +1,49 @@
+"""What the kernel knows of a connection, and the event loop has not read yet."""
+
+from __future__ import annotations
+
+import asyncio
+import fcntl
+import select
+import socket
+import struct
+import termios
+
+TCP_INFO_LAST_DATA_RECV = 52  # offset in bytes of `tcpi_last_data_recv` in `tcp_info` (tcp(7))
+UINT32_BYTES = 4
+US_PER_MS = 1000
+
+
+def unread_bytes(transport: asyncio.Transport) -> int:
+    """Returns how many bytes have come that the loop has not read."""
+    return _ioctl(transport, termios.FIONREAD)
+
+
+def unacknowledged_bytes(transport: asyncio.Transport) -> int:
+    """Returns how many bytes the kernel holds until the other machine has taken them."""
+    return _ioctl(transport, termios.TIOCOUTQ)
+
+
+def time_since_last_data_us(transport: asyncio.Transport) -> int | None:
+    """Returns the microseconds since the last data came, as the kernel counts in milliseconds.
+
+    None where the kernel does not tell.
+    """
+    try:
+        sock = transport.get_extra_info("socket")
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV + UINT32_BYTES)
+        return US_PER_MS * int(struct.unpack_from("I", info, TCP_INFO_LAST_DATA_RECV)[0])
+    except (OSError, struct.error):
+        return None
+
+
+def peer_has_left(transport: asyncio.Transport) -> bool:
+    """Returns whether the other side has ended the connection or its sending, read or not."""
+    poll = select.poll()
+    poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+    return bool(poll.poll(0))
+
+
+def _ioctl(transport: asyncio.Transport, request: int) -> int:
+    descriptor = transport.get_extra_info("socket").fileno()
+    return int.from_bytes(fcntl.ioctl(descriptor, request, bytes(UINT32_BYTES)), "little")
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -12,7 +12,7 @@
 from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.downstream import listener as listener_module
+from quota_ingress.net.downstream import timeouts as timeouts_module
 from quota_ingress.policy.actions import AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListedEndpoint, ListKind
 from quota_ingress.policy.events import AttemptEnded, CounterAnswered, Outcome, RequestArrived
@@ -187,8 +187,8 @@
     server.heard = lambda peer: None
     busy_writer.write(request("r1") + request("r2"))
     await ingress.script.seen(RequestArrived)
-    monkeypatch.setattr(listener_module, "QUIET", 0.0)
-    monkeypatch.setattr(listener_module, "KEPT", 1000.0)
+    monkeypatch.setattr(timeouts_module, "DRAINING_IDLE_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(timeouts_module, "IDLE_TIMEOUT_S", 1000.0)
     ingress.listener.set_out_of_service(True)
     async with asyncio.timeout(10):
         assert await idle.read() == b""  # long before an idle connection is closed otherwise
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -10,7 +10,7 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.downstream import listener as listener_module
+from quota_ingress.net.downstream import timeouts as timeouts_module
 from quota_ingress.policy.actions import Action, CancelAttempt, Reject
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
 from tests.net_helpers import (
@@ -280,7 +280,7 @@
     async with asyncio.timeout(10):
         for reader, _ in held[:5]:  # the longest idle
             assert await reader.read() == b""
-    assert len(ingress.listener.idle) == 3
+    assert len(ingress.listener.stages.idle) == 3
     for _, writer in held:
         writer.close()
 
@@ -309,11 +309,11 @@
     for _, writer in half:
         writer.write(request("x")[:30])
     slow, slow_writer = half[0]
-    while len([c for c in ingress.listener.awaiting_first_request if c.reader.in_message]) < 4:
+    while len([c for c in ingress.listener.stages.awaiting_first_request if c.reader.in_message]) < 4:
         await asyncio.sleep(0)
     now[0] += 600_000
     slow_writer.write(request("x")[30:60])
-    while not any(c._last_data_at == now[0] for c in ingress.listener.awaiting_first_request):
+    while not any(c._last_data_at == now[0] for c in ingress.listener.stages.awaiting_first_request):
         await asyncio.sleep(0)
     assert (await ingress.ask(request("early"))).startswith(b"HTTP/1.1 503 ")  # all may yet go on
     now[0] += 200_000
@@ -329,7 +329,7 @@
 async def test_a_client_that_does_not_finish_is_told_so_and_closed(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch, start: bytes
 ) -> None:
-    monkeypatch.setattr(listener_module, "HALF_SENT", 0.0)
+    monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(start)
     answer = await read_answer(reader)
@@ -345,16 +345,16 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first"))
     await read_answer(reader)
-    monkeypatch.setattr(listener_module, "HALF_SENT", 0.0)
-    ingress.listener._tick()
-    assert len(ingress.listener.idle) == 1  # nothing has begun
+    monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
+    ingress.listener._sweep()
+    assert len(ingress.listener.stages.idle) == 1  # nothing has begun
     writer.write(request("second")[:9])
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
     other, other_writer = await asyncio.open_connection(HOST, ingress.port)
-    monkeypatch.setattr(listener_module, "HALF_SENT", 60.0)
+    monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 60.0)
     other_writer.write(request("third"))
     await read_answer(other)
-    monkeypatch.setattr(listener_module, "KEPT", 0.0)
+    monkeypatch.setattr(timeouts_module, "IDLE_TIMEOUT_S", 0.0)
     async with asyncio.timeout(10):
         assert await other.read() == b""
     writer.close()
@@ -375,18 +375,18 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backend.heard = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000)
-    monkeypatch.setattr(listener_module, "UNREAD", 1000.0)
+    monkeypatch.setattr(timeouts_module, "UNREAD_TIMEOUT_S", 1000.0)
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.transport.pause_reading()
     for n in range(300):
         writer.write(request(f"p{n}"))
     async with asyncio.timeout(10):
-        while not ingress.listener.write_blocked:
+        while not ingress.listener.stages.write_blocked:
             await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
     assert connection.transport.get_write_buffer_size() < 200_000
     assert len(ingress.script.of(RequestArrived)) < 300
-    monkeypatch.setattr(listener_module, "UNREAD", 0.0)
+    monkeypatch.setattr(timeouts_module, "UNREAD_TIMEOUT_S", 0.0)
     async with asyncio.timeout(10):
         while ingress.listener.connections:
             await asyncio.sleep(0)
@@ -407,8 +407,8 @@
         connection._last_data_at = 0
         connection.pause_writing()
         connection.transport.abort()
-    listener._tick()
-    assert not listener._evict() and listener._sweep and listener._sweep.when() > 0
+    listener._sweep()
+    assert not listener._evict() and listener._sweep_timer and listener._sweep_timer.when() > 0
     for _, writer in ends:
         writer.close()
 
@@ -420,9 +420,9 @@
         await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
     writer.write(request("first"))  # written at once; the loop has not been back to read it
-    assert connection in ingress.listener.awaiting_first_request and not ingress.listener._evict()
+    assert connection in ingress.listener.stages.awaiting_first_request and not ingress.listener._evict()
     assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
-    assert connection in ingress.listener.idle
+    assert connection in ingress.listener.stages.idle
     writer.write(b"G")
     assert not ingress.listener._evict()
     writer.write(request("second")[1:])
@@ -453,7 +453,7 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first") + request("second")[:20])
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
-    assert not ingress.listener.idle and not ingress.listener._evict()
+    assert not ingress.listener.stages.idle and not ingress.listener._evict()
     writer.write(request("second")[20:])
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
     writer.close()
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -45,7 +45,7 @@
 @pytest_asyncio.fixture
 async def ingress(backend: PeerServer, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Ingress]:
     """A connection that is not read is not looked at by itself: only attempts tell."""
-    monkeypatch.setattr(connection_module, "LEFT_LOOK", 60.0)
+    monkeypatch.setattr(connection_module, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     ingress = Ingress(Script())
     await ingress.start()
     ingress.engine.update_endpoints(listing(backend.port))
@@ -92,7 +92,7 @@
     await backend.until(lambda: asked(backend) == before)
     if sent is MANY:
         (connection,) = ingress.listener.connections
-        while not connection._paused:
+        while not connection._read_paused:
             await asyncio.sleep(0)
     (pool,) = ingress.backends._pools.values()
     if "timer" in begins:
--- a/tests/test_net_last_answers.py
+++ b/tests/test_net_last_answers.py
@@ -88,7 +88,7 @@
     assert await statuses(resting[0], 1) == [b"200"]
     fresh = await asyncio.open_connection(HOST, ingress.port)
     async with asyncio.timeout(5):
-        while not ingress.listener.awaiting_first_request:
+        while not ingress.listener.stages.awaiting_first_request:
             await asyncio.sleep(0)
     assert ingress.listener._evict()
     assert await resting[0].read() == b""
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -56,7 +56,7 @@
     writer.write(b"".join(request(f"r{n}") for n in range(9)) + request("s0") * 20)
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
-    while not connection._paused:
+    while not connection._read_paused:
         await asyncio.sleep(0)
     await left(writer)
     await ingress.script.seen(ClientDisconnected)
@@ -70,12 +70,12 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer to the first comes before anybody has looked whether the client is there."""
-    monkeypatch.setattr(connection_module, "LEFT_LOOK", 60.0)
+    monkeypatch.setattr(connection_module, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(12)))
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
-    while not connection._paused:
+    while not connection._read_paused:
         await asyncio.sleep(0)
     await left(writer)
     backend.peers[0].transport.write(OK)
@@ -295,7 +295,7 @@
         await asyncio.sleep(0)
     ingress.listener.begin_shutdown()
     ingress.listener.close_remaining()
-    async with asyncio.timeout(connection_module.HALF_SENT - 0.5):  # no sweep has ended them first
+    async with asyncio.timeout(connection_module.HEAD_TIMEOUT_S - 0.5):  # no sweep has ended them first
         assert await silent.read() == b""
         assert (await half.read()).startswith(b"HTTP/1.1 408 ")
     silent_writer.close()
--- a/tests/test_net_stream.py
+++ b/tests/test_net_stream.py
@@ -11,6 +11,7 @@
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.downstream.connection import MAX_BUFFERED_REQUEST_BYTES
+from quota_ingress.net.downstream.stages import ConnectionStages
 from quota_ingress.net.engine.requests import ParsedRequest
 from quota_ingress.net.http import BODY_BUFFER_BYTES, Body, MemoryBudget
 from quota_ingress.policy.actions import Action, Reject, SendAttempt
@@ -163,7 +164,7 @@
     for _ in range(16):
         peer.transport.write(MEGABYTE)
     async with asyncio.timeout(10):
-        while not both.ingress.listener.write_blocked:
+        while not both.ingress.listener.stages.write_blocked:
             await asyncio.sleep(0)
         for _ in range(200):
             await asyncio.sleep(0)
@@ -277,8 +278,8 @@
     writer.write(MEGABYTE + MEGABYTE)
     await both.ingress.script.seen(RequestArrived)
     await both.heard(MEGABYTE)
-    monkeypatch.setattr(connection_module, "HALF_SENT", -1000.0)
-    both.ingress.listener._tick()
+    monkeypatch.setattr(connection_module, "HEAD_TIMEOUT_S", -1000.0)
+    both.ingress.listener._sweep()
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
     assert [e.outcome for e in both.ingress.script.of(AttemptEnded)] == [Outcome.CANCELLED]
@@ -289,16 +290,18 @@
 
 def test_a_body_is_given_time_by_its_progress() -> None:
     class Nobody:
-        memory_budget, engine = MemoryBudget(), None
+        memory_budget = MemoryBudget()
+        engine = None
+        stages: ConnectionStages[object] = ConnectionStages()
 
     connection = connection_module.ClientConnection(Nobody())  # type: ignore[arg-type]
-    connection._taken, body = connection.reader.message, connection.reader.message.body
+    connection._request, body = connection.reader.message, connection.reader.message.body
     body.append(b"x" * 160_000)  # five seconds' worth, behind 2.5 s for the head
     connection._last_data_at = 7_000_000
     assert not connection.is_too_slow(7_400_000) and connection.is_too_slow(7_600_000)
     body.append(b"x" * 10_000_000)  # it was fast, and then it stopped
     assert not connection.is_too_slow(8_900_000) and connection.is_too_slow(9_100_000)
-    connection._paused = True  # held up here: that time is not the client's
+    connection._read_paused = True  # held up here: that time is not the client's
     assert not connection.is_too_slow(60_000_000)
 
 
