--- a/tests/test_net_start_times.py
+++ b/tests/test_start_times.py
@@ -13,12 +13,12 @@
 from ingress_testbed.faults import Faults, build
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.start_times import GREATEST_STEP, LONG_AGO, StartTimes, age_tolerance
+from quota_ingress.net.discovery.start_times import LONG_AGO, MAX_CLOCK_STEP_US, StartTimes, age_tolerance
 from quota_ingress.net.engine.endpoint_registry import hash_key
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
-from quota_ingress.policy.endpoint_set import COLD_PART
+from quota_ingress.policy.slow_start import SLOW_START_BUDGET_FRACTION
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
 from tests.process_helpers import ask, config, listens, start
 
@@ -97,7 +97,7 @@
             safety.initial_capacity_fraction
             + (1 - safety.initial_capacity_fraction) * (age_us + spare) / ramp
         )
-        assert COLD_PART * believed <= present * 1.0001
+        assert SLOW_START_BUDGET_FRACTION * believed <= present * 1.0001
     assert age_tolerance(replace(safety, initial_capacity_fraction=1.0)) == 0
 
 
@@ -115,8 +115,8 @@
 def test_what_lies_further_back_than_a_step_explains_is_long_ago() -> None:
     starts = StartTimes()
     assert starts.local_start("a", 0, NOW) == LONG_AGO
-    assert starts.local_start("a", NOW - GREATEST_STEP - 1, NOW) == LONG_AGO
-    assert starts.local_start("a", NOW - GREATEST_STEP + 1, NOW) != LONG_AGO
+    assert starts.local_start("a", NOW - MAX_CLOCK_STEP_US - 1, NOW) == LONG_AGO
+    assert starts.local_start("a", NOW - MAX_CLOCK_STEP_US + 1, NOW) != LONG_AGO
 
 
 def test_a_start_told_as_earlier_than_the_one_before_happens_now() -> None:
