--- a/tests/support/fake_network.py
+++ b/tests/support/fake_network.py
@@ -108,7 +108,7 @@
 
     def ask(self, request_id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
         body = Body(MemoryBudget())
-        body.whole = True
+        body.complete = True
         parsed = ParsedRequest(
             request_id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body
         )
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -15,7 +15,8 @@
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
+from quota_ingress.net.upstream.exchange import Exchange
+from quota_ingress.net.upstream.pool import ConnectionPool
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
 from tests.net_helpers import (
@@ -55,7 +56,7 @@
     writer.write(b"".join(request(f"r{n}") for n in range(9)) + request("s0") * 20)
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
-    while not connection._paused:
+    while not connection._read_paused:
         await asyncio.sleep(0)
     await left(writer)
     await ingress.script.seen(ClientDisconnected)
@@ -69,12 +70,12 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer to the first comes before anybody has looked whether the client is there."""
-    monkeypatch.setattr(connection_module, "LEFT_LOOK", 60.0)
+    monkeypatch.setattr(connection_module, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(12)))
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
-    while not connection._paused:
+    while not connection._read_paused:
         await asyncio.sleep(0)
     await left(writer)
     backend.peers[0].transport.write(OK)
@@ -91,12 +92,12 @@
     backend.heard = answers(OK)
     await ingress.ask(request("k0"))
     backend.heard = lambda peer: None
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await left(writer)
     stays = asyncio.create_task(ingress.ask(request("r1")))
-    ingress.listener.resume()
+    ingress.listener.resume_accepting()
     await backend.until(lambda: b"r1" in asked(backend))
     for peer in backend.peers:
         peer.transport.write(OK)
@@ -108,16 +109,16 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where attempts may not be cancelled: this one has not begun. And the backend is not to blame."""
-    up, connect, dialling = asyncio.Event(), UpstreamClient._connect, asyncio.Event()
+    up, connect, dialling = asyncio.Event(), ConnectionPool._connect, asyncio.Event()
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(pool: ConnectionPool, exchange: Exchange) -> None:
         dialling.set()
         try:
             await up.wait()
         finally:
-            await connect(self, pool, exchange)
+            await connect(pool, exchange)
 
-    monkeypatch.setattr(UpstreamClient, "_connect", late)
+    monkeypatch.setattr(ConnectionPool, "_connect", late)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await dialling.wait()
@@ -189,17 +190,17 @@
     """Its connection comes up right after the list; it never ran, so an unsafe one may go on, too."""
     ingress, servers = two
     chosen: list[str] = []
-    up, dialling, connect = asyncio.Event(), asyncio.Event(), UpstreamClient._connect
+    up, dialling, connect = asyncio.Event(), asyncio.Event(), ConnectionPool._connect
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(pool: ConnectionPool, exchange: Exchange) -> None:
         chosen.append(pool.name)
         dialling.set()
         try:
             await up.wait()
         finally:
-            await connect(self, pool, exchange)
+            await connect(pool, exchange)
 
-    monkeypatch.setattr(UpstreamClient, "_connect", late)
+    monkeypatch.setattr(ConnectionPool, "_connect", late)
     answer = asyncio.create_task(ingress.ask(request("r0", cls)))
     await dialling.wait()
     leaving = int(chosen[0][-1])
@@ -250,7 +251,7 @@
     """They are connected, and have sent: closing the listener reset them."""
     monkeypatch.setattr(main_module, "ACCEPTS_ON", 0.0)
     backend.heard = answers(OK)
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
     for _ in range(3):  # connecting and sending take a turn of the loop each
         await asyncio.sleep(0)
@@ -270,7 +271,7 @@
         await asyncio.sleep(0)
     open_one = asyncio.create_task(ingress.ask(request("r0")))
     await backend.until(lambda: asked(backend) == [b"r0"])
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     ingress.engine.fail_all()
     assert (await open_one).startswith(b"HTTP/1.1 504 ")
@@ -287,11 +288,14 @@
     silent, silent_writer = await asyncio.open_connection(HOST, ingress.port)
     half, half_writer = await asyncio.open_connection(HOST, ingress.port)
     half_writer.write(request("r0")[:20])
-    while sum(c._begun for c in ingress.listener.connections) < 1 or len(ingress.listener.connections) < 2:
+    while (
+        sum(c.reader.in_message for c in ingress.listener.connections) < 1
+        or len(ingress.listener.connections) < 2
+    ):
         await asyncio.sleep(0)
-    ingress.listener.begin_stop()
-    ingress.listener.last_call()
-    async with asyncio.timeout(connection_module.HALF_SENT - 0.5):  # no sweep has ended them first
+    ingress.listener.begin_shutdown()
+    ingress.listener.close_remaining()
+    async with asyncio.timeout(connection_module.HEAD_TIMEOUT_S - 0.5):  # no sweep has ended them first
         assert await silent.read() == b""
         assert (await half.read()).startswith(b"HTTP/1.1 408 ")
     silent_writer.close()
