--- /dev/null
+++ b/quota_ingress/config.py
@@ -0,0 +1,171 @@
+"""The configuration of one ingress: the platform's JSON file, and what the environment overrides in it.
+
+The keys are the platform's; `quota_ingress.settings_codec` reads the settings in it.
+"""
+
+from __future__ import annotations
+
+import json
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any, NamedTuple, TypeVar
+
+from quota_ingress.net.discovery.endpoint_list import EndpointList, pack, skip
+from quota_ingress.policy.settings import Settings
+from quota_ingress.settings_codec import settings_from_json
+
+DEFAULT_MAX_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 64
+DEFAULT_IDLE_TIMEOUT_US = 15_000_000
+MAX_PORT = 65535
+PARSE_ERRORS = (ValueError, TypeError, AttributeError, RecursionError)
+
+Document = dict[str, Any]
+Value = TypeVar("Value")
+
+log = logging.getLogger("quota_ingress")
+
+
+class ConfigError(Exception):
+    """The configuration makes no sense; the message names the key and what is wrong with it."""
+
+
+class ConfigUnreadableError(ConfigError):
+    """The file could not be read; a later attempt may succeed."""
+
+
+class Address(NamedTuple):
+    """Where a TCP server listens."""
+
+    host: str
+    port: int
+
+
+@dataclass(frozen=True, slots=True)
+class Config:
+    """One ingress's configuration, checked."""
+
+    listen: Address
+    admin: Address | None  # None: there is no address for operators' calls
+    discovery: Address
+    counter: Address | None
+    seed: int
+    max_descriptors: int
+    memory_mb: float
+    inherited_listener: (
+        int | None
+    )  # the descriptor of the clients' listening socket, where the platform holds it
+    shared_directory: str  # seen by all processes of this ingress; "": there is none
+    known_endpoints: EndpointList | None  # as the previous process held them; None: not readable, or not read
+    settings: Settings
+    settings_document: Document  # the settings as they came, for the names in them
+    idle_timeout_us: int  # for connections to endpoints
+
+
+def load_config(path: str, environment: Mapping[str, str]) -> Config:
+    """Reads the configuration for a start.
+
+    Args:
+        path: The JSON file.
+        environment: `EDGE_LISTEN`, `EDGE_ADMIN` and `EDGE_DISCOVERY` go before the file's keys;
+            `EDGE_LISTEN_FD` and `TMPDIR` are read here only.
+
+    Raises:
+        ConfigUnreadableError: The file cannot be read.
+        ConfigError: The file is no JSON, a key is missing, or a value makes no sense.
+    """
+    document = _read_document(path, pack)
+    config = _parse_config(document, environment)
+    return replace(config, known_endpoints=_parse_known_endpoints(document))
+
+
+def reload_config(path: str) -> Config:
+    """Reads the configuration again while the process runs.
+
+    The environment is that of the start, so the file alone counts, and `known_endpoints` stays None:
+    the process holds a newer list.
+
+    Raises:
+        ConfigUnreadableError: The file cannot be read.
+        ConfigError: The file is no JSON, a key is missing, or a value makes no sense.
+    """
+    return _parse_config(_read_document(path, skip), {})
+
+
+def _read_document(path: str, object_hook: Callable[[Document], Any]) -> Document:
+    try:
+        text = Path(path).read_text("utf-8-sig")
+        document = json.loads(text, object_hook=object_hook)
+    except OSError as error:
+        raise ConfigUnreadableError(str(error)) from None
+    except PARSE_ERRORS as error:
+        raise ConfigError(str(error)) from None
+    if not isinstance(document, dict):
+        raise ConfigError("the configuration is no JSON object")
+    return document
+
+
+def _parse_config(document: Document, environment: Mapping[str, str]) -> Config:
+    overrides = {
+        "listen": environment.get("EDGE_LISTEN"),
+        "admin": environment.get("EDGE_ADMIN"),
+        "discovery": environment.get("EDGE_DISCOVERY"),
+    }
+    located = document | {key: address for key, address in overrides.items() if address}
+    limits = document.get("limits", {})
+    descriptor = environment.get("EDGE_LISTEN_FD")
+    settings_document = _required(document, "settings")
+    return Config(
+        listen=_parse_address(located, "listen"),
+        admin=_parse_address(located, "admin") if located.get("admin") else None,
+        discovery=_parse_address(located, "discovery"),
+        counter=_parse_address(located, "counter") if located.get("counter") else None,
+        seed=_parse("seed", lambda: int(str(_required(document, "seed")), 16)),
+        inherited_listener=_parse("EDGE_LISTEN_FD", lambda: int(descriptor)) if descriptor else None,
+        shared_directory=environment.get("TMPDIR", ""),
+        max_descriptors=_parse("limits.sockets", lambda: int(limits.get("sockets", DEFAULT_MAX_DESCRIPTORS))),
+        memory_mb=_parse("limits.memory_mb", lambda: float(limits.get("memory_mb", DEFAULT_MEMORY_MB))),
+        known_endpoints=None,
+        settings=_parse("settings", lambda: settings_from_json(json.dumps(settings_document).encode())),
+        settings_document=settings_document,
+        idle_timeout_us=_parse("settings.ceilings.conn_idle", lambda: _idle_timeout_us(settings_document)),
+    )
+
+
+def _parse(name: str, parse: Callable[[], Value]) -> Value:
+    """Returns what `parse` does; its errors become a ConfigError that names the key."""
+    try:
+        return parse()
+    except PARSE_ERRORS as error:
+        raise ConfigError(f"{name}: {error}") from None
+
+
+def _required(document: Document, key: str) -> Any:
+    try:
+        return document[key]
+    except KeyError:
+        raise ConfigError(f"{key} is missing") from None
+
+
+def _parse_address(document: Document, key: str) -> Address:
+    value = _required(document, key)
+    host, colon, port = str(value).rpartition(":")
+    if not (host and colon and port.isdecimal() and int(port) <= MAX_PORT):
+        raise ConfigError(f"{key}: {value!r} is not HOST:PORT")
+    return Address(host, int(port))
+
+
+def _idle_timeout_us(settings_document: Document) -> int:
+    return int(settings_document["ceilings"].get("conn_idle", DEFAULT_IDLE_TIMEOUT_US))
+
+
+def _parse_known_endpoints(document: Document) -> EndpointList | None:
+    """A list that cannot be read stops no start: discovery is asked for the whole one."""
+    raw = document.get("known")
+    try:
+        return EndpointList({"index": 0, "snapshot": True, "endpoints": []} if raw is None else raw)
+    except ValueError as error:
+        log.warning("known: not understood, asking for the whole list: %s", error)
+        return None
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -1,11 +1,17 @@
-"""The operators' calls: a listener of its own, one call a connection."""
+"""The operators' calls: HTTP/1.1 on an address of their own, one call a connection.
+
+Each call is owed its answer in 1 s, however crowded the ingress is and whoever else holds a connection here.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+import re
 from collections.abc import Callable
-from typing import Protocol
+from enum import IntEnum
+from functools import partial
+from typing import NamedTuple, Protocol
 from urllib.parse import unquote
 
 import httptools
@@ -13,150 +19,206 @@
 from quota_ingress.net.acceptor import Acceptor, listening_socket
 from quota_ingress.net.http import HttpConnection, MemoryBudget, Message
 
-LIST_WAIT = 0.7  # s that a call waits at a start until the list and the bans in force are known
-READY = b"/control/ready"
-HOLDS = 3.0  # s for a call to come whole: its answer is owed in 1 s, so nobody who means one takes longer
-REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    413: b"Content Too Large",
-    431: b"Request Header Fields Too Large",
-    503: b"Service Unavailable",
-}
+LIST_WAIT_SECONDS = 0.7  # that a call waits at a start until the endpoint list and the bans are known
+CALL_TIMEOUT_SECONDS = 3.0  # for a call to come whole
+READY_PATH = "/control/ready"
+OUT_OF_SERVICE_PATH = "/control/out-of-service"
+IN_SERVICE_PATH = "/control/in-service"
+BACKEND_PATH = re.compile(r"/control/backends/(?P<name>[^/]+)/(?P<state>offline|online)")
 
 log = logging.getLogger(__name__)
 
 
-class Controls(Protocol):
-    """What operators can ask for. False: there is no backend of that name."""
+class Status(IntEnum):
+    """The status codes of answers; `http.HTTPStatus` would take a tenth of the start's time to import."""
+
+    OK = 200
+    BAD_REQUEST = 400
+    NOT_FOUND = 404
+    METHOD_NOT_ALLOWED = 405
+    REQUEST_TIMEOUT = 408
+    CONTENT_TOO_LARGE = 413
+    REQUEST_HEADER_FIELDS_TOO_LARGE = 431
+    SERVICE_UNAVAILABLE = 503
+
+    @property
+    def reason(self) -> str:
+        """The reason phrase of the status line."""
+        return "OK" if self is Status.OK else self.name.replace("_", " ").title()
+
+
+class OperatorControls(Protocol):
+    """What operators can ask for."""
+
+    def ready(self) -> bool:
+        """Returns whether a request that comes now would be served."""
+
+    def take_offline(self, name: str) -> bool:
+        """Bans an endpoint; returns False if it was never listed."""
+
+    def put_online(self, name: str) -> bool:
+        """Ends an endpoint's ban; returns False if it was never listed."""
+
+    def drain(self, is_draining: bool) -> None:
+        """Takes the ingress out of service, or back in."""
 
-    def ready(self) -> bool: ...
-    def take_offline(self, name: str) -> bool: ...
-    def put_online(self, name: str) -> bool: ...
-    def drain(self, on: bool) -> None: ...
 
+class Answer(NamedTuple):
+    """The answer to a call: its status, and a line of text."""
 
-class Admin:
-    """Holds at most `most` callers; a further one takes the place of the one that has held on longest."""
+    status: Status
+    text: str
 
-    def __init__(self, controls: Controls, most: int) -> None:
-        self.controls, self.most = controls, most
-        self.callers: dict[Caller, asyncio.TimerHandle] = {}  # the longest held first
+
+class Route(NamedTuple):
+    """A call that there is."""
+
+    method: str
+    carry_out: Callable[[], Answer]
+
+
+class AdminServer:
+    """Listens for operators' calls, and carries them out."""
+
+    def __init__(self, controls: OperatorControls, max_connections: int) -> None:
+        """A connection past `max_connections` takes the place of the one that has been open longest."""
+        self.connections: dict[
+            AdminConnection, asyncio.TimerHandle
+        ] = {}  # the oldest first; each call's timeout
+        self._controls = controls
+        self._max_connections = max_connections
         self._acceptor: Acceptor | None = None
-        self._list_known = False
-        self._held: list[Callable[[], None]] = []  # calls that wait for that
+        self._is_list_known = False
+        self._deferred: list[Callable[[], None]] = []  # calls, until the list is known
+        self._routes = {
+            READY_PATH: Route("GET", self._ready),
+            OUT_OF_SERVICE_PATH: Route("POST", partial(self._drain, True)),
+            IN_SERVICE_PATH: Route("POST", partial(self._drain, False)),
+        }
 
     async def listen(self, host: str, port: int) -> int:
+        """Returns the port, which the system chooses where 0 is given."""
         listening = await listening_socket(host, port)
-        self._acceptor = Acceptor(listening, lambda waited_since: Caller(self))
+        self._acceptor = Acceptor(listening, lambda waited_since: AdminConnection(self))
         self._acceptor.start()
-        bound: int = listening.getsockname()[1]
-        return bound
+        bound_port: int = listening.getsockname()[1]
+        return bound_port
 
     def stop(self) -> None:
+        """Closes the listener and all connections at once."""
         if self._acceptor:
             self._acceptor.close()
-        for caller in list(self.callers):
-            caller.transport.abort()
-
-    def came(self, caller: Caller) -> None:
-        if len(self.callers) >= self.most:
-            longest = next(iter(self.callers))
-            self.left(longest)
-            longest.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
+
+    def register(self, connection: AdminConnection) -> None:
+        """Takes in a new connection."""
+        if len(self.connections) >= self._max_connections:
+            oldest = next(iter(self.connections))
+            self.unregister(oldest)
+            oldest.transport.abort()
         loop = asyncio.get_running_loop()
-        self.callers[caller] = loop.call_later(HOLDS, caller.answer, 408, "the call did not come whole")
+        timeout = Answer(Status.REQUEST_TIMEOUT, "the call did not come whole")
+        self.connections[connection] = loop.call_later(CALL_TIMEOUT_SECONDS, connection.answer, timeout)
 
-    def left(self, caller: Caller) -> None:
-        if timer := self.callers.pop(caller, None):
+    def unregister(self, connection: AdminConnection) -> None:
+        """Forgets a connection that has been answered or closed."""
+        if timer := self.connections.pop(connection, None):
             timer.cancel()
 
-    def list_known(self) -> None:
-        """The list and the bans of the process that this one takes over from, if any, are known now."""
-        self._list_known = True
-        held, self._held = self._held, []
-        for answer in held:
+    def on_list_known(self) -> None:
+        """Answers the deferred calls: the endpoint list and the predecessor's bans, if any, are known now."""
+        self._is_list_known = True
+        deferred = self._deferred
+        self._deferred = []
+        for answer in deferred:
             answer()
 
-    def called(self, caller: Caller, method: bytes, target: bytes) -> None:
-        """Before the list is known a backend in it would get a no, and what a call changes would be undone by
-        what the other process tells: such a call waits, but not beyond its time.
+    def on_call(self, connection: AdminConnection, method: bytes, target: bytes) -> None:
+        """Answers a call, which may have to wait for the endpoint list, but not beyond its time.
+
+        Before that, a listed endpoint would be unknown, and a ban undone by the predecessor's state.
         """
 
         def answer() -> None:
-            if caller in self.callers:
-                caller.answer(*self.carry_out(method, target))
+            if connection in self.connections:
+                connection.answer(self._carry_out(method, target))
 
-        if self._list_known or target == READY:
+        if self._is_list_known or target == READY_PATH.encode():
             answer()
         else:
-            self._held.append(answer)
-            asyncio.get_running_loop().call_later(LIST_WAIT, answer)
-
-    def carry_out(self, method: bytes, target: bytes) -> tuple[int, str]:
-        parts = target.decode("ascii", "replace").split("/")
-        calls: dict[tuple[str, ...], tuple[bytes, Callable[[], tuple[int, str]]]] = {
-            ("ready",): (b"GET", self._ready),
-            ("out-of-service",): (b"POST", lambda: self._drain(True)),
-            ("in-service",): (b"POST", lambda: self._drain(False)),
-        }
-        if len(parts) == 5 and parts[2] == "backends" and parts[3]:
-            name, way = unquote(parts[3]), parts[4]
-            calls["backends", parts[3], "offline"] = (b"POST", lambda: self._backend(name, way))
-            calls["backends", parts[3], "online"] = (b"POST", lambda: self._backend(name, way))
-        known = calls.get(tuple(parts[2:])) if parts[:2] == ["", "control"] else None
-        if known is None:
-            return 404, "no such call"
-        if known[0] != method:
-            return 405, f"this call takes {known[0].decode()}"
-        return known[1]()
-
-    def _ready(self) -> tuple[int, str]:
-        return (200, "ready") if self.controls.ready() else (503, "not ready")
-
-    def _drain(self, on: bool) -> tuple[int, str]:
-        log.info("operators: %s", "out of service" if on else "in service")
-        self.controls.drain(on)
-        return 200, "out of service" if on else "in service"
-
-    def _backend(self, name: str, way: str) -> tuple[int, str]:
-        known = (self.controls.take_offline if way == "offline" else self.controls.put_online)(name)
-        log.info("operators: backend %s %s%s", name, way, "" if known else ": never listed")
-        return (200, f"{name} is {way}") if known else (404, f"{name} was never listed")
-
-
-class Caller(HttpConnection):
-    def __init__(self, admin: Admin) -> None:
+            self._deferred.append(answer)
+            asyncio.get_running_loop().call_later(LIST_WAIT_SECONDS, answer)
+
+    def _carry_out(self, method: bytes, target: bytes) -> Answer:
+        route = self._route(target.decode("ascii", "replace"))
+        if route is None:
+            return Answer(Status.NOT_FOUND, "no such call")
+        if route.method.encode() != method:
+            return Answer(Status.METHOD_NOT_ALLOWED, f"this call takes {route.method}")
+        return route.carry_out()
+
+    def _route(self, path: str) -> Route | None:
+        if (backend := BACKEND_PATH.fullmatch(path)) is None:
+            return self._routes.get(path)
+        return Route("POST", partial(self._override, unquote(backend["name"]), backend["state"]))
+
+    def _ready(self) -> Answer:
+        if self._controls.ready():
+            return Answer(Status.OK, "ready")
+        return Answer(Status.SERVICE_UNAVAILABLE, "not ready")
+
+    def _drain(self, is_draining: bool) -> Answer:
+        state = "out of service" if is_draining else "in service"
+        log.info("operators: %s", state)
+        self._controls.drain(is_draining)
+        return Answer(Status.OK, state)
+
+    def _override(self, name: str, state: str) -> Answer:
+        change = self._controls.take_offline if state == "offline" else self._controls.put_online
+        is_known = change(name)
+        log.info("operators: backend %s %s%s", name, state, "" if is_known else ": never listed")
+        if not is_known:
+            return Answer(Status.NOT_FOUND, f"{name} was never listed")
+        return Answer(Status.OK, f"{name} is {state}")
+
+
+class AdminConnection(HttpConnection):
+    """One operator's connection: one call; what comes behind it is ignored."""
+
+    def __init__(self, server: AdminServer) -> None:
         super().__init__(httptools.HttpRequestParser, MemoryBudget())
-        self._admin = admin
+        self._server = server
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.BaseProtocol."""
         super().connection_made(transport)
-        self._admin.came(self)
+        self._server.register(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """See asyncio.BaseProtocol."""
         super().connection_lost(exc)
         self._message.body.release()
-        self._admin.left(self)
+        self._server.unregister(self)
 
     def came(self, message: Message) -> None:
-        """One call a connection: what comes behind it is void, and so is a body, but for its end."""
+        """See HttpConnection. A call has no body worth reading."""
         if message.body.long:
-            self.answer(413, "a call has no body")
-        elif message.body.whole and self in self._admin.callers:
-            self._admin.called(self, message.method, message.target)
+            self.answer(Answer(Status.CONTENT_TOO_LARGE, "a call has no body"))
+        elif message.body.whole and self in self._server.connections:
+            self._server.on_call(self, message.method, message.target)
 
     def garbage(self, status: int) -> None:
-        self.answer(status, "not understood")
-
-    def answer(self, status: int, text: str) -> None:
-        if self in self._admin.callers:
-            self._admin.left(self)
-            body = text.encode() + b"\n"
-            head = b"HTTP/1.1 %d %b\r\nConnection: close\r\nContent-Type: text/plain\r\n"
-            self.transport.write(head % (status, REASONS[status]))
-            self.transport.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
-            self.transport.close()
+        """See HttpConnection."""
+        self.answer(Answer(Status(status), "not understood"))
+
+    def answer(self, answer: Answer) -> None:
+        """Writes the answer and closes, unless that has been done."""
+        if self not in self._server.connections:
+            return
+        self._server.unregister(self)
+        body = answer.text.encode() + b"\n"
+        head = b"HTTP/1.1 %d %b\r\nConnection: close\r\nContent-Type: text/plain\r\n"
+        self.transport.write(head % (answer.status, answer.status.reason.encode()))
+        self.transport.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
+        self.transport.close()
--- a/quota_ingress/net/clock.py
+++ b/quota_ingress/net/clock.py
@@ -1,4 +1,4 @@
-"""The process's clock: read once from the wall clock, and carried on by the monotonic one."""
+"""The process's clock: read once from the wall clock, and carried on by the monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,19 +6,26 @@
 
 
 class Clock:
-    """Unix microseconds, the same at every ingress (the module names quota windows by it), read once and
-    carried on by the monotonic clock, so that it never goes back and no step of the wall clock moves it.
+    """Unix microseconds that never go back.
+
+    Quota windows are named by them, so that they are the same at every ingress. A step of the wall clock
+    while the process runs changes nothing.
     """
 
     def __init__(self) -> None:
-        self.base = time.time_ns() // 1000 - time.monotonic_ns() // 1000  # us, at the monotonic clock's zero
+        self.base = time.time_ns() // 1000 - time.monotonic_ns() // 1000  # us at the monotonic clock's zero
 
     def adopt(self, base: int) -> None:
-        """Goes on with the clock of another process of this machine: its moments are this one's, too, though
-        the wall clock may have been stepped since that process read it. Before anything has been timed.
+        """Goes on with the clock of another process of this machine.
+
+        Moments of that process are then moments of this one, though the wall clock may have been stepped
+        between their starts. Must be called before anything has been timed.
+
+        Args:
+            base: The other clock's `base`, in microseconds.
         """
         self.base = base
 
     def now(self) -> int:
-        """Us; never less than before."""
+        """Returns the moment in microseconds."""
         return self.base + time.monotonic_ns() // 1000
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -1,125 +1,144 @@
-"""The backends that operators have taken out, laid over what discovery lists."""
+"""Operators' overrides of single endpoints, laid over the endpoint list that discovery sends.
+
+An endpoint that operators have taken offline (a ban) is published as draining, whatever discovery says. One
+that they have put back online is published as started at that moment, so that it gets a slow start, until
+discovery reports a later start.
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import dataclass
 from itertools import islice
-from typing import Any
 
 from quota_ingress.net.discovery.directory import EndpointDirectory
 from quota_ingress.net.discovery.endpoint_list import REMOVED, EndpointEntry, EndpointList
 from quota_ingress.policy.endpoint_list import ListKind
 
-Tell = Callable[[EndpointList, ListKind | None], None]
-MAX_REMOVED_NAMES = (
-    5000  # names removed last that operators may still call by: of the largest fleet those of six hours
-)
+MAX_REMOVED_NAMES = 5000  # that operators may still call by: six hours' worth of the largest fleet
+ENTRIES_PER_BATCH = 1000
+
+PublishList = Callable[[EndpointList, ListKind | None], None]
+
+
+class IncompleteListError(ValueError):
+    """Some entries of the other process's endpoint list did not arrive."""
 
-PART = 1000  # entries told to another process at a time
+
+@dataclass(frozen=True, slots=True)
+class OverridesSnapshot:
+    """The operators' overrides, and the size of the list that they are laid over, for another process."""
+
+    index: int  # the endpoint list's version
+    endpoint_count: int
+    offline: tuple[str, ...]
+    restarted_at: Mapping[str, int]  # us of the shared clock, by name, of those put back online
+    removed_names: tuple[str, ...]
 
 
 class OperatorOverrides:
-    """The one place where the two meet: the module hears of an ordinary drain, and of an ordinary start."""
+    """The endpoints that operators have taken offline and put back online."""
+
+    def __init__(self, now: Callable[[], int], publish: PublishList, directory: EndpointDirectory) -> None:
+        """Starts without overrides.
 
-    def __init__(
-        self, now: Callable[[], int], tell: Tell, directory: EndpointDirectory | None = None
-    ) -> None:
-        """`directory`: the table into which `tell` takes what it is told; without one, it is kept here."""
+        Args:
+            now: The process's clock, in microseconds.
+            publish: Takes each endpoint list and change with the overrides laid over it.
+            directory: The table of endpoints into which `publish` takes them.
+        """
         self.offline: set[str] = set()
-        self._restart_moments: dict[
-            str, int
-        ] = {}  # when it was put back: it was restarted meanwhile, so it is cold
+        self.index = 0  # the version of the endpoint list
+        self._restart_moments: dict[str, int] = {}  # us, by name: when operators put it back online
         self._start_when_restored: dict[
             str, int
-        ] = {}  # the start that discovery told of these then; a later one counts
-        self.index = 0
-        self._now, self._publish, self._keeps = now, tell, directory is None
-        self._directory = EndpointDirectory() if directory is None else directory
-        self._as_discovered: dict[str, EndpointEntry] = {}  # by operators, and listed: as discovery told last
-        self._removed_names: OrderedDict[str, None] = OrderedDict()
-        self._incoming_entries: dict[
-            str, str
-        ] = {}  # packed: told by the process that this one takes over from
+        ] = {}  # as discovery said then: a later start ends the override
+        self._now = now
+        self._publish = publish
+        self._directory = directory
+        self._as_discovered: dict[str, EndpointEntry] = {}  # of listed endpoints with an override
+        self._removed_names: OrderedDict[str, None] = OrderedDict()  # the oldest first
+        self._incoming_entries: dict[str, str] = {}  # packed, by name, of the other process's list
 
     @property
     def entries(self) -> Mapping[str, EndpointEntry]:
-        """The list as it is told on."""
+        """The endpoint list with the overrides laid over it."""
         return self._directory
 
-    def apply_list(self, listing: EndpointList, kind: ListKind | None = None) -> None:
-        """A change costs as much as it changes."""
-        packed, directory = listing.packed, self._directory
-        left: Iterable[str] = (n for n in packed if packed[n][0] == REMOVED)
-        if listing.is_snapshot:
-            self._as_discovered.clear()
-            left = [*left, *(n for n in directory if n not in packed)]
-        for name in left:
-            self._as_discovered.pop(name, None)
-            self._remember_name(name)
-        few = (
-            packed.keys() & (self.offline | self._restart_moments.keys())
-            if listing.is_snapshot
-            else packed.keys()
+    def apply_list(self, endpoints: EndpointList, kind: ListKind | None = None) -> None:
+        """Lays the overrides over a list or a change from discovery, in place, and publishes it.
+
+        The cost of a change depends on the size of the change, not of the list.
+        """
+        self._forget_removed(endpoints)
+        packed = endpoints.packed
+        for name in self._overridden_names(endpoints):
+            if packed[name][0] != REMOVED:
+                entry = EndpointEntry.unpacked(name, packed[name])
+                self._as_discovered[name] = entry
+                packed[name] = self._with_override(entry).packed()
+        self.index = endpoints.index
+        self._publish(endpoints, kind)
+
+    def snapshot(self) -> OverridesSnapshot:
+        """Returns the overrides for another process of this ingress."""
+        unlisted = (self._removed_names.keys() | self.offline) - self._directory.keys()
+        return OverridesSnapshot(
+            index=self.index,
+            endpoint_count=len(self._directory),
+            offline=tuple(sorted(self.offline)),
+            restarted_at=dict(self._restart_moments),
+            removed_names=tuple(sorted(unlisted)),
         )
-        for name in few:
-            if packed[name][0] != REMOVED and (name in self.offline or name in self._restart_moments):
-                self._as_discovered[name] = EndpointEntry.unpacked(name, packed[name])
-                packed[name] = self._with_override(self._as_discovered[name]).packed()
-        self.index = listing.index
-        self._pass_on(listing, kind)
-
-    def snapshot(self) -> dict[str, Any]:
-        """For another process: what discovery told last, and what operators asked for."""
-        gone = sorted((self._removed_names.keys() | self.offline) - self._directory.keys())
-        counted = {"index": self.index, "count": len(self._directory)}
-        return {"listed": counted, "out": sorted(self.offline), "back": self._restart_moments, "gone": gone}
 
     def entry_batches(self) -> Iterator[dict[str, str]]:
-        """The list that `described` counts, some entries at a time, packed: all at once take much memory."""
+        """Yields the list as discovery sent it, packed, some entries at a time to bound the memory taken."""
         names = iter(self._directory)
-        while some := list(islice(names, PART)):
-            yield {
-                n: self._as_discovered[n].packed() if n in self._as_discovered else self._directory.text(n)
-                for n in some
-            }
-
-    def restore_entries(self, part: dict[str, str]) -> None:
-        """Some of the other process's list, before it is taken up."""
-        for name, packed in part.items():
-            self._incoming_entries[name] = EndpointEntry.unpacked(name, packed).packed()
-
-    def restore(self, told: dict[str, Any]) -> EndpointList:
-        """The other process's list, once what operators asked of it holds here, too. ValueError if some of
-        the list is missing.
+        while batch := list(islice(names, ENTRIES_PER_BATCH)):
+            yield {name: self._packed_as_discovered(name) for name in batch}
+
+    def restore_entries(self, entries: Mapping[str, str]) -> None:
+        """Takes a batch of the other process's list, before `restore`."""
+        self._incoming_entries.update(entries)
+
+    def restore(self, snapshot: OverridesSnapshot, endpoints: EndpointList | None = None) -> EndpointList:
+        """Takes over another process's overrides, and returns its list for `apply_list`.
+
+        Args:
+            snapshot: The overrides.
+            endpoints: The list, from a version that sends it whole; None: it came in batches.
+
+        Raises:
+            IncompleteListError: Batches are missing. The overrides are not taken over, either.
         """
-        coming, self._incoming_entries = self._incoming_entries, {}
-        if "listing" in told:  # by a process of an earlier version
-            listing = EndpointList(told["listing"])
-        elif len(coming) == told["listed"]["count"]:
-            listing = EndpointList({"index": told["listed"]["index"], "snapshot": True, "endpoints": []})
-            listing.packed = coming
-        else:
-            raise ValueError(f"{len(coming)} backends of {told['listed']['count']}")
-        out, back = {str(n) for n in told["out"]}, {str(n): int(at) for n, at in told["back"].items()}
-        for name in told["gone"]:
-            self._remember_name(str(name))
-        self.offline, self._restart_moments = out, back
-        return listing
+        incoming = self._incoming_entries
+        self._incoming_entries = {}
+        if endpoints is None:
+            if len(incoming) != snapshot.endpoint_count:
+                raise IncompleteListError(f"{len(incoming)} backends of {snapshot.endpoint_count}")
+            endpoints = EndpointList({"index": snapshot.index, "snapshot": True, "endpoints": []})
+            endpoints.packed = incoming
+        for name in snapshot.removed_names:
+            self._remember_name(name)
+        self.offline = set(snapshot.offline)
+        self._restart_moments = dict(snapshot.restarted_at)
+        return endpoints
 
     def restarted_at(self, name: str) -> int:
-        """The moment in us of this process's clock, if that is what counts as its start; else 0."""
+        """Returns when operators put the endpoint back online, in us; 0 where another start counts."""
         return self._restart_moments.get(name, 0)
 
-    def apply_operator_call(self, name: str, out: bool) -> None:
-        """A call at another process of the same ingress: it has answered it, and both follow it."""
+    def apply_operator_call(self, name: str, is_offline: bool) -> None:
+        """Follows a call that the other process of this ingress has answered."""
         self._remember_name(name)
-        if out:
+        if is_offline:
             self.take_offline(name)
         else:
             self.put_online(name)
 
     def take_offline(self, name: str) -> bool:
+        """Bans the endpoint until `put_online`. Returns False if it was never listed."""
         if not self._is_known(name):
             return False
         if name not in self.offline:
@@ -128,7 +147,7 @@
         return True
 
     def put_online(self, name: str) -> bool:
-        """One call back ends the ban, however often the backend was taken out."""
+        """Ends the ban, however often it was called for. Returns False if the endpoint was never listed."""
         if not self._is_known(name):
             return False
         if name in self.offline:
@@ -139,6 +158,27 @@
             self._remember_name(name)
         return True
 
+    def _overridden_names(self, endpoints: EndpointList) -> Iterable[str]:
+        packed = endpoints.packed
+        if endpoints.is_snapshot:
+            return packed.keys() & (self.offline | self._restart_moments.keys())
+        return [name for name in packed if name in self.offline or name in self._restart_moments]
+
+    def _forget_removed(self, endpoints: EndpointList) -> None:
+        packed = endpoints.packed
+        removed: Iterable[str] = [name for name in packed if packed[name][0] == REMOVED]
+        if endpoints.is_snapshot:
+            self._as_discovered.clear()
+            removed = [*removed, *(name for name in self._directory if name not in packed)]
+        for name in removed:
+            self._as_discovered.pop(name, None)
+            self._remember_name(name)
+
+    def _packed_as_discovered(self, name: str) -> str:
+        if name in self._as_discovered:
+            return self._as_discovered[name].packed()
+        return self._directory.text(name)
+
     def _is_known(self, name: str) -> bool:
         return name in self._directory or name in self.offline or name in self._removed_names
 
@@ -151,20 +191,17 @@
     def _publish_entry(self, name: str) -> None:
         if name in self._directory:
             entry = self._as_discovered.setdefault(name, self._directory[name])
-            self._pass_on(EndpointList.of(self.index, False, [self._with_override(entry)]), None)
-
-    def _pass_on(self, listing: EndpointList, kind: ListKind | None) -> None:
-        if self._keeps:
-            self._directory.take(listing)
-        self._publish(listing, kind)
+            self._publish(EndpointList.of(self.index, False, [self._with_override(entry)]), None)
 
     def _with_override(self, entry: EndpointEntry) -> EndpointEntry:
-        """Moments of two clocks are never compared: what operators did counts until another start is told."""
         if entry.status == "up" and entry.name in self.offline:
             return entry.replaced(status="draining")
         if entry.name not in self._restart_moments:
             return entry
-        if self._start_when_restored.setdefault(entry.name, entry.started_us) != entry.started_us:
-            del self._restart_moments[entry.name], self._start_when_restored[entry.name]
+        # Discovery's moments and ours are of two clocks, so only a change of discovery's own moment counts.
+        discovered_start = self._start_when_restored.setdefault(entry.name, entry.started_us)
+        if discovered_start != entry.started_us:
+            del self._restart_moments[entry.name]
+            del self._start_when_restored[entry.name]
             return entry
         return entry.replaced(since_us=self._restart_moments[entry.name])
--- a/quota_ingress/net/event_log.py
+++ b/quota_ingress/net/event_log.py
@@ -1,7 +1,8 @@
 """What the process did and why: counts that are always kept, and an event log that can be switched on.
 
 `EDGE_TRACE=1` in the environment writes each event as one line of JSON through the logger
-`quota_ingress.events`. The counts are logged at the end of the process, whether or not events are written.
+`quota_ingress.events`: `at` in microseconds of the machine's monotonic clock, `event`, `reason` where there
+is one, and the event's own fields. The counts are logged at the end of the process in any case.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from collections import Counter
 from collections.abc import Mapping
 
-VARIABLE = "EDGE_TRACE"
-VIOLATION = "violation"
+ENVIRONMENT_VARIABLE = "EDGE_TRACE"
+VIOLATION_KIND = "violation"
 
 log = logging.getLogger(__name__)
 events = logging.getLogger("quota_ingress.events")
@@ -24,14 +25,14 @@
     """Counts events by kind and reason, and writes them out where that is switched on."""
 
     def __init__(self, writes: bool = False) -> None:
-        """`writes`: every event is written to the log, not only counted."""
+        """`writes`: each event is written to the log, not only counted."""
         self.writes = writes
         self.counts: Counter[tuple[str, str]] = Counter()
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str] = os.environ) -> EventLog:
         """Writes events if the environment says so."""
-        return cls(writes=environment.get(VARIABLE, "") not in ("", "0"))
+        return cls(writes=environment.get(ENVIRONMENT_VARIABLE, "") not in ("", "0"))
 
     def event(self, kind: str, reason: str = "", **fields: object) -> None:
         """Counts one event; `fields` are written with it. Bytes are written as Latin-1 text."""
@@ -40,25 +41,34 @@
             self._write(kind, reason, fields)
 
     def violation(self, rule: str, **fields: object) -> None:
-        """A rule would have been broken, or has been: this is always written."""
-        self.counts[VIOLATION, rule] += 1
+        """Counts and always writes that a rule of the service was broken, or that this was just prevented."""
+        self.counts[VIOLATION_KIND, rule] += 1
         log.warning("rule %s: %s", rule, self._text(fields))
 
     @property
     def violations(self) -> int:
-        """How many have been counted, of all rules."""
-        return sum(count for (kind, _), count in self.counts.items() if kind == VIOLATION)
+        """The number of violations of all rules."""
+        return sum(count for (kind, _), count in self.counts.items() if kind == VIOLATION_KIND)
 
     def summary(self) -> str:
-        """All counts as one line of JSON, `kind/reason` by name."""
-        named = {f"{kind}/{reason}" if reason else kind: n for (kind, reason), n in self.counts.items()}
-        return json.dumps(dict(sorted(named.items())))
+        """Returns all counts as one line of JSON, by `kind/reason`, or `kind` where there is no reason."""
+        counts_by_name: dict[str, int] = {}
+        for (kind, reason), count in self.counts.items():
+            name = f"{kind}/{reason}" if reason else kind
+            counts_by_name[name] = count
+        return json.dumps(counts_by_name, sort_keys=True)
 
     def _write(self, kind: str, reason: str, fields: Mapping[str, object]) -> None:
-        head = {"at": time.monotonic_ns() // 1000, "event": kind} | ({"reason": reason} if reason else {})
-        events.info("%s", self._text(head | dict(fields)))
+        written: dict[str, object] = {"at": time.monotonic_ns() // 1000, "event": kind}
+        if reason:
+            written["reason"] = reason
+        written.update(fields)
+        events.info("%s", self._text(written))
 
     @staticmethod
     def _text(fields: Mapping[str, object]) -> str:
-        plain = {k: v.decode("latin-1") if isinstance(v, bytes) else v for k, v in fields.items()}
-        return json.dumps(plain, default=str)
+        readable = {
+            name: value.decode("latin-1") if isinstance(value, bytes) else value
+            for name, value in fields.items()
+        }
+        return json.dumps(readable, default=str)
--- /dev/null
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -0,0 +1,188 @@
+"""One ingress process: its parts put together, its start and its end, and what operators can ask of it."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+from dataclasses import replace
+
+from quota_ingress.config import Config
+from quota_ingress.net.admin import AdminServer
+from quota_ingress.net.clock import Clock
+from quota_ingress.net.descriptors import CALLERS, DescriptorBudget
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
+from quota_ingress.net.downstream.listener import Listener
+from quota_ingress.net.engine.engine import Engine
+from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.event_log import EventLog
+from quota_ingress.net.http import MemoryBudget
+from quota_ingress.net.lifecycle.graceful_shutdown import check_nothing_left, finish_requests
+from quota_ingress.net.lifecycle.reload import ConfigReloader, ControlPlaneClients
+from quota_ingress.net.lifecycle.upgrade import UpgradeCoordinator
+from quota_ingress.net.lifecycle.upgrade_messages import DrainCall, EndpointCall, OperatorNote
+from quota_ingress.net.lifecycle.upgrade_process import SharedParts, UpgradeProcess
+from quota_ingress.net.upstream.client import UpstreamClient
+from quota_ingress.policy.endpoint_list import ListKind
+from quota_ingress.policy.gateway import Gateway
+
+LIST_WAIT_SECONDS = 0.3  # at a start, for the list: the agent on this machine has it at once, or is silent
+COUNTER_WAIT_SECONDS = 0.5  # at a start while another process still serves, for the first connection
+
+log = logging.getLogger("quota_ingress")
+
+
+class Ingress:
+    """Everything together. It implements `quota_ingress.net.admin.OperatorControls`."""
+
+    def __init__(self, config: Config) -> None:
+        """Builds the parts; nothing is connected or listened on before `start`."""
+        operator_descriptors = CALLERS if config.admin else 0
+        self._config = replace(config, known_endpoints=None)
+        self._known_endpoints = config.known_endpoints  # until taken in: a long list is not held twice
+        self.stopping = asyncio.Event()  # set by a signal, or once nothing is left after an upgrade
+        self.clock = Clock()
+        self.trace = EventLog.from_environment()
+        self.descriptors = DescriptorBudget(config.max_descriptors, operator_descriptors)
+        self.memory = MemoryBudget(config.memory_mb)
+        self.engine = self._build_engine()
+        self.upstream = self._build_upstream()
+        self.engine.upstream = self.upstream
+        self.overrides = OperatorOverrides(
+            self.clock.now, self.engine.update_endpoints, self.engine.directory
+        )
+        self.engine.restored_at = self.overrides.restarted_at
+        self.listener = Listener(self.engine, self.descriptors, self.clock.now, self.memory)
+        self.control_plane = ControlPlaneClients(self.engine, self.overrides, self._config)
+        self.reloader = ConfigReloader(self.control_plane.apply, self.trace)
+        self.admin = AdminServer(self, operator_descriptors)
+        self._upgrade_process = UpgradeProcess(self._shared_parts(), self.stopping)
+        self._upgrade = self._build_upgrade_coordinator()
+
+    async def start(self) -> None:
+        """Returns once clients are accepted; where another process serves, it goes on until then.
+
+        Operators are answered first, whatever else takes its time.
+        """
+        config = self._config
+        if config.admin:
+            port = await self.admin.listen(*config.admin)
+            log.info("operators call at %s:%d", config.admin.host, port)
+        has_predecessor = await self._upgrade.find() if self._upgrade else False
+        self.control_plane.start(self._apply_held_list())
+        self.admin.on_list_known()
+        await self.control_plane.wait_for_list(LIST_WAIT_SECONDS)
+        if has_predecessor:
+            await self._take_over()
+        port = await self.listener.listen(*config.listen, config.inherited_listener)
+        self.trace.event("process", "serving")
+        log.info("listening on %s:%d", config.listen.host, port)
+        if self._upgrade:
+            self._upgrade.offer()
+
+    def reload(self, path: str) -> None:
+        """Reads the configuration again, and changes to the control plane that it names."""
+        self.reloader.reload(path)
+
+    async def stop(self) -> None:
+        """Shuts down gracefully, and reports what was counted and what was left open."""
+        self._upgrade_process.stop()
+        self.trace.event("process", "stopping", open=self.engine.in_flight)
+        await finish_requests(self.engine, self.listener)
+        self.reloader.stop()
+        self.control_plane.stop()
+        self.admin.stop()
+        self.upstream.stop()
+        self.listener.stop()
+        if self._upgrade:
+            self._upgrade.stop()
+        open_counts = {
+            "requests": lambda: self.engine.unfinished,
+            "client connections": lambda: self.descriptors.clients.open,
+            "backend connections": lambda: self.descriptors.backends.open,
+            "bytes": lambda: self.memory.held,
+        }
+        await check_nothing_left(open_counts, self.trace)
+        self.trace.event("process", "ended")
+        log.info("counts: %s", self.trace.summary())
+
+    # Operators' calls: see OperatorControls.
+
+    def ready(self) -> bool:
+        """Returns whether a request that comes now would be served."""
+        return self.listener.listening and not self.listener.stopping and self.engine.can_send
+
+    def take_offline(self, name: str) -> bool:
+        """Bans an endpoint; returns False if it was never listed."""
+        is_known = self.overrides.take_offline(name)
+        if is_known:
+            self._notify_other_process(EndpointCall(name, is_offline=True))
+        return is_known
+
+    def put_online(self, name: str) -> bool:
+        """Ends an endpoint's ban; returns False if it was never listed."""
+        is_known = self.overrides.put_online(name)
+        if is_known:
+            self._notify_other_process(EndpointCall(name, is_offline=False))
+        return is_known
+
+    def drain(self, is_draining: bool) -> None:
+        """Takes the ingress out of service, or back in."""
+        self.listener.drain(is_draining)
+        self._notify_other_process(DrainCall(is_draining))
+
+    def _notify_other_process(self, note: OperatorNote) -> None:
+        if self._upgrade:
+            self._upgrade.send_operator_note(note)
+
+    # The start.
+
+    def _build_engine(self) -> Engine:
+        config = self._config
+        names = SettingsIndex(config.settings, config.settings_document)
+        gateway = Gateway(config.settings, config.seed)
+        loop = asyncio.get_running_loop()
+        return Engine(gateway, config.settings, names, loop, self.clock.now, self.trace)
+
+    def _build_upstream(self) -> UpstreamClient:
+        settings = self._config.settings
+        return UpstreamClient(
+            self.descriptors.backends,
+            self._config.idle_timeout_us,
+            settings.limits.connect_timeout,
+            self.memory,
+            settings.fleet_size,
+            self.trace,
+        )
+
+    def _build_upgrade_coordinator(self) -> UpgradeCoordinator | None:
+        """None where the platform does not hold the listening socket, or there is no shared directory."""
+        if self._config.inherited_listener is None or not self._config.shared_directory:
+            return None
+        coordinator = UpgradeCoordinator(self._upgrade_process, self._config.shared_directory)
+        self.control_plane.on_list_change = coordinator.send_list_change
+        return coordinator
+
+    def _shared_parts(self) -> SharedParts:
+        return SharedParts(
+            self.clock, self.engine, self.overrides, self.listener, self.descriptors, self.control_plane
+        )
+
+    def _apply_held_list(self) -> int | None:
+        """Applies the list of the process before this one, if any is known, and returns its version."""
+        restored = self._upgrade_process.take_restored_list()
+        held = self._known_endpoints if restored is None else restored
+        self._known_endpoints = None
+        if held is None:
+            return None
+        self.overrides.apply_list(held, ListKind.CACHED)
+        return held.index
+
+    async def _take_over(self) -> None:
+        """Takes the place of the process that serves, once this one could serve."""
+        await self.control_plane.wait_for_counter(COUNTER_WAIT_SECONDS)
+        gc.collect()
+        gc.freeze()
+        snapshot = await self._upgrade.take() if self._upgrade else None
+        if snapshot is not None:
+            self.engine.restore(snapshot)
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -1,242 +1,226 @@
-"""From an old process to a new one that was started beside it: a channel over a Unix socket in `$TMPDIR`.
+"""Coordinates an upgrade: a new process, started beside the one that serves, takes over from it.
 
-JSON, a line a message. The new one asks `hello` and later `take`; each is answered once, `hello` after a
-`part` for each thousand backends. A `note` goes either way, for an operators' call that the other process
-must follow, too, and so does `listed`, for what discovery tells after `hello`: the other one's own watch may
-not be answered. The channel stays open while both live: its end tells each that the
-other is gone. A message of another kind is passed over.
+The process that serves listens on a Unix socket in the shared directory. A new process connects to it, asks
+for its state (`Question.HELLO`), prepares itself, and takes over (`Question.TAKE`). While both live, each
+forwards operators' calls and what discovery sends it, since the other one's own watch may not be answered.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
 import logging
 import os
 import socket
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from pathlib import Path
-from typing import Any, Protocol, cast
+from typing import Protocol
 
 from quota_ingress.net.acceptor import Acceptor
-
-VERSION = 1  # of the messages: another one's are not understood, and the start goes on without them
-NAME = "handover"
-MAX_LINE = 16 * 1024 * 1024
-OFFER_AGAIN = 1.0  # s until the next try where the folder does not take the name, as when its disk is full
-PATIENCE = 1.5  # s for an answer: the new process has 6 s in all until it must serve
+from quota_ingress.net.lifecycle.upgrade_channel import ANSWER_TIMEOUT_SECONDS, UpgradeChannel
+from quota_ingress.net.lifecycle.upgrade_messages import (
+    Document,
+    EndpointListChange,
+    ListPart,
+    MessageError,
+    OperatorNote,
+    Question,
+    ServingState,
+    decode_state,
+    encode_state,
+)
+
+SOCKET_NAME = "handover"  # in the shared directory; versions find one another by it
+OFFER_RETRY_SECONDS = 1.0
 
 log = logging.getLogger(__name__)
-Message = dict[str, Any]
 
 
-class Process(Protocol):
-    """What the process does at its end of the channel."""
+class UpgradeParticipant(Protocol):
+    """What a process does at its side of an upgrade."""
 
-    def described(self) -> Message:
-        """What operators asked for, and how long the list of backends is that `parts` are of."""
+    def serving_state(self) -> ServingState:
+        """Returns what this process holds, but for the entries of the endpoint list."""
 
-    def parts(self) -> Iterable[Message]:
-        """The list of backends, told in pieces before it is described."""
+    def list_parts(self) -> Iterable[Mapping[str, str]]:
+        """Returns the endpoint list, packed, by name, some entries at a time."""
 
-    def take_part(self, part: Message) -> None:
-        """Such a piece of the other's list."""
+    def restore_list_part(self, entries: Mapping[str, str]) -> None:
+        """Takes such a part of the other process's list."""
 
-    def hand_over(self) -> Message:
-        """Stops accepting, and gives away what the module has learned."""
+    def restore_state(self, state: ServingState) -> None:
+        """Takes over the other process's state, after all parts of its list."""
 
-    def noted(self, note: Message) -> None:
-        """Operators called at the other process."""
+    def hand_over(self) -> Document:
+        """Stops accepting, and returns the policy's snapshot: another process serves from now on."""
 
-    def listed_elsewhere(self, change: Message) -> None:
-        """Discovery has told the other process a change of the list."""
+    def apply_operator_note(self, note: OperatorNote) -> None:
+        """Follows an operator's call that the other process has answered."""
 
-    def shares(self, with_other: bool) -> None:
-        """From now on another process holds descriptors, too, or no longer does."""
+    def apply_list_change(self, change: EndpointListChange) -> None:
+        """Follows what discovery has sent to the other process."""
 
-    def deserted(self) -> None:
-        """The process that took over is gone."""
+    def share_descriptors(self, with_other: bool) -> None:
+        """Another process holds descriptors under the same limit from now on, or no longer does."""
 
+    def on_successor_lost(self) -> None:
+        """The process that took over is gone: serves again."""
 
-class Channel(asyncio.Protocol):
-    def __init__(self, handover: Handover) -> None:
-        self._handover = handover
-        self._rest = bytearray()
-        self._asked: asyncio.Future[Message] | None = None
-        self._take: Callable[[Message], None] | None = None
-        self.transport: asyncio.Transport | None = None
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+class UpgradeCoordinator:
+    """Both sides: `find` and `take` of the new process, `offer` of the one that serves."""
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._fail("the channel ended")
-        self._handover.lost(self)
+    def __init__(self, participant: UpgradeParticipant, directory: str) -> None:
+        """Does nothing yet.
 
-    def data_received(self, data: bytes) -> None:
-        self._rest += data
-        *lines, rest = self._rest.split(b"\n")
-        self._rest = bytearray(rest)
-        try:
-            if len(rest) > MAX_LINE:
-                raise ValueError("a line without end")
-            for line in lines:
-                message = json.loads(line)
-                if not isinstance(message, dict) or message.get("version") != VERSION:
-                    raise ValueError("a message of another version, or none")
-                self._told(message)
-        except (ValueError, KeyError, TypeError, AttributeError) as error:
-            log.warning("handover: not understood: %s", error)
-            self._fail("not understood")
-            self.abort()
-
-    def _told(self, message: Message) -> None:
-        if "ask" in message:
-            self.tell({"answer": self._handover.asked(self, message["ask"])})
-        elif "part" in message and self._take:
-            self._handover.process.take_part(message["part"])
-        elif "note" in message:
-            self._handover.process.noted(message["note"])
-        elif "listed" in message:
-            self._handover.process.listed_elsewhere(message["listed"])
-        elif "answer" in message and self._asked and not self._asked.done():
-            if not isinstance(message["answer"], dict):
-                raise TypeError("an answer that is none")
-            if self._take:  # now: a note may come right behind it, and goes by what it says
-                self._take(message["answer"])
-            self._asked.set_result(message["answer"])
-
-    def tell(self, message: Message) -> None:
-        if self.transport and not self.transport.is_closing():
-            self.transport.write(json.dumps({"version": VERSION} | message).encode() + b"\n")
-
-    async def ask(self, what: str, take: Callable[[Message], None] | None = None) -> Message:
-        self._take = take
-        self._asked = asyncio.get_running_loop().create_future()
-        self.tell({"ask": what})
-        async with asyncio.timeout(PATIENCE):
-            return await self._asked
-
-    def abort(self) -> None:
-        if self.transport:
-            self.transport.abort()
-
-    def _fail(self, why: str) -> None:
-        if self._asked and not self._asked.done():
-            self._asked.set_exception(ConnectionError(why))
-
-
-class Handover:
-    """Both ends: `find` and `take` of the new process, `offer` of the one that serves."""
-
-    def __init__(self, process: Process, directory: str) -> None:
-        self.process = process
-        self.gave = False  # a new process has taken over here
-        self._path = Path(directory, NAME)
-        self._channel: Channel | None = None  # to the other process, if there is one
-        self._told_list = False  # it has been told the list by this one
+        Args:
+            participant: This process.
+            directory: A directory that all processes of this ingress share.
+        """
+        self._participant = participant
+        self._path = Path(directory, SOCKET_NAME)
+        self._own_path = self._path.with_name(f"{SOCKET_NAME}.{os.getpid()}")
+        self._has_handed_over = False
+        self._channel: UpgradeChannel | None = None  # to the other process, if there is one
+        self._other_has_list = False  # the other process holds the endpoint list that this one does
         self._acceptor: Acceptor | None = None
-        self._offer_again: asyncio.TimerHandle | None = None
+        self._offer_retry: asyncio.TimerHandle | None = None
 
-    async def find(self, take: Callable[[Message], None]) -> Message | None:
-        """What the process that serves tells, once `take` has had it; None where there is none, or none that
-        can be understood.
+    async def find(self) -> bool:
+        """Looks for a process that serves, and has the participant take over its state.
+
+        Returns False where there is none, or it does not answer.
         """
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(PATIENCE):
-                _, channel = await loop.create_unix_connection(lambda: Channel(self), str(self._path))
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+                _, channel = await loop.create_unix_connection(lambda: UpgradeChannel(self), str(self._path))
         except (OSError, ValueError) as error:  # missing or stale, or a path too long for a socket
             log.info("handover: no process to take over from: %s", error)
-            return None
+            return False
         self._channel = channel
-        self.process.shares(with_other=True)
-        described = await self._ask("hello", take)
-        self._told_list = described is not None
-        return described
+        self._participant.share_descriptors(with_other=True)
+        found = await self._ask(Question.HELLO, self._restore_state) is not None
+        self._other_has_list = found
+        return found
 
-    async def take(self) -> Message | None:
-        """What the other's module has learned; from here on it accepts no more."""
-        return await self._ask("take") if self._channel else None
-
-    async def _ask(self, what: str, take: Callable[[Message], None] | None = None) -> Message | None:
-        try:
-            return await self._channel.ask(what, take) if self._channel else None
-        except (OSError, TimeoutError) as error:
-            log.warning("handover: %s: %s", what, error or "no answer")
-            return None
+    async def take(self) -> Document | None:
+        """Takes over: the process found by `find` accepts no more. Returns its policy's snapshot, if any."""
+        return await self._ask(Question.TAKE)
 
     def offer(self) -> None:
-        """Listens for the next one. Renamed into place: whoever finds the name can connect. Where that fails
-        it is tried again until `stop`.
-        """
+        """Listens for a new process. Where that fails it is tried again until `stop`."""
         self._withdraw_offer()
-        made = self._path.with_name(f"{NAME}.{os.getpid()}")
-        sock: socket.socket | None = None
         try:
-            sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            made.unlink(missing_ok=True)
-            sock.bind(str(made))
-            acceptor = Acceptor(sock, lambda waited_since: Channel(self))
-            made.rename(self._path)
+            self._acceptor = self._listen()
         except OSError as error:
-            if sock:
-                sock.close()
             log.warning("handover: no upgrade can be offered: %s", error)
             loop = asyncio.get_running_loop()
-            self._offer_again = loop.call_later(OFFER_AGAIN, self.offer)
+            self._offer_retry = loop.call_later(OFFER_RETRY_SECONDS, self.offer)
             return
-        acceptor.start()
-        self._acceptor = acceptor
+        self._acceptor.start()
 
-    def _withdraw_offer(self) -> None:
-        if self._offer_again:
-            self._offer_again.cancel()
-            self._offer_again = None
-        if self._acceptor:
-            self._acceptor.close()
-            self._acceptor = None
-
-    def note(self, note: Message) -> None:
+    def send_operator_note(self, note: OperatorNote) -> None:
+        """Passes on an operator's call that this process has answered."""
         if self._channel:
-            self._channel.tell({"note": note})
+            self._channel.send(note)
+
+    def send_list_change(self, change: EndpointListChange) -> None:
+        """Passes on what discovery has sent, to a process that holds the list before it."""
+        if self._channel and self._other_has_list:
+            self._channel.send(change)
+
+    def stop(self) -> None:
+        """Ends the channel and the offer. The socket's name stays: it is stale now, or the next process's."""
+        self._withdraw_offer()
+        channel = self._channel
+        self._channel = None
+        if channel:
+            channel.abort()
+        with contextlib.suppress(OSError):
+            self._own_path.unlink(missing_ok=True)
 
-    def pass_on(self, change: Message) -> None:
-        """A list or a change of it, to a process that has been told the list before it."""
-        if self._channel and self._told_list:
-            self._channel.tell({"listed": change})
+    # The channel's handler.
 
-    def asked(self, channel: Channel, what: str) -> Message:
+    def on_question(self, channel: UpgradeChannel, question: Question) -> Document:
+        """Answers the new process."""
         if self._channel not in (None, channel):
-            raise ValueError("there is another process already")
+            raise MessageError("there is another process already")
         self._channel = channel
-        if what == "hello":
-            self.process.shares(with_other=True)
-            for part in self.process.parts():
-                channel.tell({"part": part})
-            self._told_list = True
-            return self.process.described()
-        if what == "take" and not self.gave:
-            self.gave = True
-            return self.process.hand_over()
-        raise ValueError("an unknown question")
-
-    def lost(self, channel: Channel) -> None:
+        match question:
+            case Question.HELLO:
+                return self._describe(channel)
+            case Question.TAKE if not self._has_handed_over:
+                self._has_handed_over = True
+                return self._participant.hand_over()
+            case Question.TAKE:
+                raise MessageError("another process has taken over already")
+
+    def on_list_part(self, entries: Mapping[str, str]) -> None:
+        """See ChannelHandler."""
+        self._participant.restore_list_part(entries)
+
+    def on_operator_note(self, note: OperatorNote) -> None:
+        """See ChannelHandler."""
+        self._participant.apply_operator_note(note)
+
+    def on_list_change(self, change: EndpointListChange) -> None:
+        """See ChannelHandler."""
+        self._participant.apply_list_change(change)
+
+    def on_closed(self, channel: UpgradeChannel) -> None:
+        """The other process is gone; if it had taken over, this one serves again."""
         if channel is not self._channel:
             return
-        self._channel, self._told_list = None, False
-        self.process.shares(with_other=False)
-        if self.gave:
-            self.gave = False
-            self.process.deserted()
+        self._channel = None
+        self._other_has_list = False
+        self._participant.share_descriptors(with_other=False)
+        if self._has_handed_over:
+            self._has_handed_over = False
+            self._participant.on_successor_lost()
             self.offer()  # the other one may have offered itself under the same name
 
-    def stop(self) -> None:
-        """The name is left: it is stale now, or the next process's."""
-        self._withdraw_offer()
-        channel, self._channel = self._channel, None
-        if channel:
-            channel.abort()
-        with contextlib.suppress(OSError):
-            self._path.with_name(f"{NAME}.{os.getpid()}").unlink(missing_ok=True)
+    def _describe(self, channel: UpgradeChannel) -> Document:
+        self._participant.share_descriptors(with_other=True)
+        for entries in self._participant.list_parts():
+            channel.send(ListPart(entries))
+        self._other_has_list = True
+        return encode_state(self._participant.serving_state())
+
+    def _restore_state(self, content: Document) -> None:
+        try:
+            self._participant.restore_state(decode_state(content))
+        except ValueError as error:
+            log.warning("handover: what the other process tells cannot be read: %r", error)
+
+    async def _ask(
+        self, question: Question, on_answer: Callable[[Document], None] | None = None
+    ) -> Document | None:
+        if not self._channel:
+            return None
+        try:
+            return await self._channel.ask(question, on_answer)
+        except (OSError, TimeoutError) as error:
+            log.warning("handover: %s: %s", question.value, error or "no answer")
+            return None
+
+    def _listen(self) -> Acceptor:
+        """Binds under a name of its own and renames, so that whoever finds the shared name can connect."""
+        listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        try:
+            self._own_path.unlink(missing_ok=True)
+            listening.bind(str(self._own_path))
+            acceptor = Acceptor(listening, lambda waited_since: UpgradeChannel(self))
+            self._own_path.rename(self._path)
+        except OSError:
+            listening.close()
+            raise
+        return acceptor
+
+    def _withdraw_offer(self) -> None:
+        if self._offer_retry:
+            self._offer_retry.cancel()
+            self._offer_retry = None
+        if self._acceptor:
+            self._acceptor.close()
+            self._acceptor = None
--- /dev/null
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -0,0 +1,231 @@
+"""The messages between the two processes of an upgrade, and their codec: JSON, a line a message.
+
+The keys, their order and the forms of the values are those of the versions in service: a process must be
+able to take over from an older one, and to hand over to it. The answer to `Question.TAKE` is the policy's
+snapshot, which `quota_ingress.net.engine.snapshot_codec` writes and reads.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any
+
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
+
+VERSION = 1  # messages of another version are not understood: a start goes on without them
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, IndexError, OverflowError)
+
+Document = dict[str, Any]
+
+
+class MessageError(ValueError):
+    """A line is no message of this version, or a part of it is missing or of the wrong type."""
+
+
+class EndpointListChangeError(MessageError):
+    """A change of the endpoint list cannot be read; the messages after it can."""
+
+
+class Question(Enum):
+    """What the new process asks of the one that serves."""
+
+    HELLO = "hello"  # answered with a ServingState, after the ListParts
+    TAKE = "take"  # answered with the policy's snapshot; the other process accepts no more
+
+
+@dataclass(frozen=True, slots=True)
+class Ask:
+    """A question; each is answered once."""
+
+    question: Question
+
+
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """The answer to the last question, not decoded: its form depends on the question."""
+
+    content: Document
+
+
+@dataclass(frozen=True, slots=True)
+class ListPart:
+    """Some entries of the endpoint list, sent before the answer to `Question.HELLO`."""
+
+    entries: Mapping[str, str]  # packed, by name
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointCall:
+    """An operator's call about one endpoint, for the process at which it was not made."""
+
+    name: str
+    is_offline: bool
+
+
+@dataclass(frozen=True, slots=True)
+class DrainCall:
+    """An operator's call to drain the ingress, or to end the drain."""
+
+    is_draining: bool
+
+
+OperatorNote = EndpointCall | DrainCall
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListChange:
+    """A list, or a change of one, that discovery has sent to the other process."""
+
+    discovery: tuple[str, int]  # the address that it came from
+    after: int | None  # the version that it is a change on top of
+    endpoints: EndpointList
+
+
+@dataclass(frozen=True, slots=True)
+class ServingState:
+    """What the process that serves holds besides its requests."""
+
+    overrides: OverridesSnapshot
+    is_draining: bool
+    clock_base_us: int | None  # None: a version that does not say
+    endpoints: EndpointList | None = None  # from versions that send the list whole, not in parts
+
+
+Message = Ask | Answer | ListPart | EndpointCall | DrainCall | EndpointListChange
+
+
+def encode(message: Message) -> bytes:
+    """Returns the line for `message`, with its end."""
+    match message:
+        case Ask(question):
+            content: Document = {"ask": question.value}
+        case Answer(answer):
+            content = {"answer": answer}
+        case ListPart(entries):
+            content = {"part": entries}
+        case EndpointCall(name, is_offline):
+            content = {"note": {"backend": name, "out": is_offline}}
+        case DrainCall(is_draining):
+            content = {"note": {"drain": is_draining}}
+        case EndpointListChange():
+            content = {"listed": _encode_change(message)}
+    return json.dumps({"version": VERSION} | content).encode() + b"\n"
+
+
+def decode(line: bytes | bytearray) -> Message | None:
+    """Returns the message in `line`; None for a kind that this version does not know.
+
+    Raises:
+        EndpointListChangeError: Only this change of the endpoint list is lost.
+        MessageError: The line cannot be read.
+    """
+    try:
+        document = json.loads(line)
+        if not isinstance(document, dict) or document.get("version") != VERSION:
+            raise MessageError("a message of another version, or none")
+        return _decode_kind(document)
+    except MessageError:
+        raise
+    except DECODE_ERRORS as error:
+        raise MessageError(repr(error)) from error
+
+
+def encode_state(state: ServingState) -> Document:
+    """Returns the content of the answer to `Question.HELLO`."""
+    overrides = state.overrides
+    return {
+        "listed": {"index": overrides.index, "count": overrides.endpoint_count},
+        "out": list(overrides.offline),
+        "back": dict(overrides.restarted_at),
+        "gone": list(overrides.removed_names),
+        "drained": state.is_draining,
+        "clock": state.clock_base_us,
+    }
+
+
+def decode_state(content: Document) -> ServingState:
+    """Returns the state in the answer to `Question.HELLO`.
+
+    Raises:
+        MessageError: A part of it is missing or is of the wrong type.
+    """
+    try:
+        endpoints = EndpointList(content["listing"]) if "listing" in content else None
+        return ServingState(
+            overrides=_decode_overrides(content, endpoints),
+            is_draining=bool(content["drained"]),
+            clock_base_us=int(content["clock"]) if "clock" in content else None,
+            endpoints=endpoints,
+        )
+    except DECODE_ERRORS as error:
+        raise MessageError(repr(error)) from error
+
+
+def _decode_kind(document: Document) -> Message | None:
+    match document:
+        case {"ask": question}:
+            return Ask(Question(question))
+        case {"part": entries}:
+            return ListPart(_decode_entries(entries))
+        case {"note": note}:
+            return _decode_note(note)
+        case {"listed": change}:
+            return _decode_change(change)
+        case {"answer": dict(content)}:
+            return Answer(content)
+        case {"answer": _}:
+            raise MessageError("the answer is no object")
+        case _:
+            return None
+
+
+def _decode_entries(entries: Mapping[str, str]) -> dict[str, str]:
+    """Returns the entries as this version packs them; one that cannot be unpacked raises."""
+    return {name: EndpointEntry.unpacked(name, packed).packed() for name, packed in entries.items()}
+
+
+def _decode_note(note: Document) -> OperatorNote:
+    if "drain" in note:
+        return DrainCall(bool(note["drain"]))
+    return EndpointCall(str(note["backend"]), bool(note["out"]))
+
+
+def _encode_change(change: EndpointListChange) -> Document:
+    return {
+        "discovery": list(change.discovery),
+        "index": change.endpoints.index,
+        "after": change.after,
+        "whole": change.endpoints.is_snapshot,
+        "packed": change.endpoints.packed,
+    }
+
+
+def _decode_change(change: Document) -> EndpointListChange:
+    try:
+        host, port = change["discovery"]
+        after = change["after"]
+        endpoints = EndpointList({"index": change["index"], "snapshot": change["whole"], "endpoints": []})
+        endpoints.packed = _decode_entries(change["packed"])
+        return EndpointListChange((host, port), None if after is None else int(after), endpoints)
+    except DECODE_ERRORS as error:
+        raise EndpointListChangeError(repr(error)) from error
+
+
+def _decode_overrides(content: Document, endpoints: EndpointList | None) -> OverridesSnapshot:
+    if endpoints is not None:
+        index = endpoints.index
+        endpoint_count = len(endpoints.packed)
+    else:
+        index = int(content["listed"]["index"])
+        endpoint_count = int(content["listed"]["count"])
+    return OverridesSnapshot(
+        index=index,
+        endpoint_count=endpoint_count,
+        offline=tuple(str(name) for name in content["out"]),
+        restarted_at={str(name): int(moment) for name, moment in content["back"].items()},
+        removed_names=tuple(str(name) for name in content["gone"]),
+    )
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -9,12 +9,15 @@
 
 from quota_ingress.net.clock import Clock
 from quota_ingress.net.descriptors import DescriptorBudget
+from quota_ingress.net.discovery.directory import EndpointDirectory
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
+from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.events import AttemptEnded, Event, RequestArrived
 from quota_ingress.settings_codec import settings_from_json
 
@@ -93,6 +96,19 @@
         return self.of(kind)
 
 
+def overrides_of_own_directory(
+    now: Callable[[], int], observe: Callable[[EndpointList], None] = lambda endpoints: None
+) -> OperatorOverrides:
+    """Overrides without an engine: what they publish is kept in a directory, and then observed."""
+    directory = EndpointDirectory()
+
+    def publish(endpoints: EndpointList, kind: ListKind | None) -> None:
+        directory.take(endpoints)
+        observe(endpoints)
+
+    return OperatorOverrides(now, publish, directory)
+
+
 def send_first(event: Event) -> list[Action]:
     """Sends every request to backend 1, and fails it if that does not serve it."""
     if isinstance(event, RequestArrived):
--- a/tests/test_net_admin.py
+++ b/tests/test_net_admin.py
@@ -8,9 +8,8 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.admin import Admin
+from quota_ingress.net.admin import AdminServer
 from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream import listener as listener_module
 from quota_ingress.policy.actions import AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
@@ -24,6 +23,7 @@
     PeerServer,
     Script,
     answers,
+    overrides_of_own_directory,
     read_answer,
     request,
     send_first,
@@ -48,15 +48,15 @@
         self.named.append(("online", name))
         return name == "s 1"
 
-    def drain(self, on: bool) -> None:
-        self.drained.append(on)
+    def drain(self, is_draining: bool) -> None:
+        self.drained.append(is_draining)
 
 
 class Operators:
     def __init__(self) -> None:
         self.controls = Asked()
-        self.admin = Admin(self.controls, 3)
-        self.admin.list_known()
+        self.admin = AdminServer(self.controls, 3)
+        self.admin.on_list_known()
 
     async def call(self, line: str) -> int:
         reader, writer = await asyncio.open_connection(HOST, self.port)
@@ -102,7 +102,7 @@
         writer.write(b"GET /control/re")
     operators.controls.is_ready = True
     assert await operators.call("GET /control/ready") == 200
-    assert len(operators.admin.callers) <= 3
+    assert len(operators.admin.connections) <= 3
     for _, writer in held:
         writer.close()
 
@@ -119,9 +119,7 @@
 
     def __init__(self) -> None:
         self.time, self.heard = 5_000_000, list[EndpointList]()
-        self.maintenance = OperatorOverrides(
-            lambda: self.time, lambda listing, kind: self.heard.append(listing)
-        )
+        self.maintenance = overrides_of_own_directory(lambda: self.time, self.heard.append)
 
     def list(self, *entries: dict[str, object], whole: bool = True) -> None:
         named = [{"address": f"{HOST}:1", "status": "up"} | e for e in entries]
@@ -236,7 +234,7 @@
     gateway, time = Gateway(SETTINGS, 1), [1_000_000_000]
     boxes: dict[str, int] = {"a": 1, "b": 2}
 
-    def tell(listing: EndpointList, kind: ListKind | None) -> None:
+    def tell(listing: EndpointList) -> None:
         states = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
         told = [
             ListedEndpoint(boxes[e.name], states[e.status], 0, 0, 0, 1.0, e.started_us)
@@ -245,7 +243,7 @@
         way = ListKind.FULL if listing.is_snapshot else ListKind.DELTA
         gateway.handle(time[0], EndpointsListed(way, listing.index, tuple(told)))
 
-    maintenance = OperatorOverrides(lambda: time[0], tell)
+    maintenance = overrides_of_own_directory(lambda: time[0], tell)
     up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in boxes]
     maintenance.apply_list(EndpointList({"index": 1, "snapshot": True, "endpoints": up}))
     number = 0
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -10,7 +10,7 @@
 import socket
 import subprocess
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 
@@ -18,59 +18,101 @@
 
 from ingress_testbed.faults import Call, Faults, build
 from ingress_testbed.soak.nodes import free_port
-from quota_ingress.__main__ import Ingress, read_config
+from quota_ingress.config import load_config
 from quota_ingress.net.descriptors import DescriptorBudget
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
-from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
+from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.operator_overrides import IncompleteListError, OverridesSnapshot
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.names import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
-from quota_ingress.net.lifecycle.upgrade import NAME, Handover
+from quota_ingress.net.lifecycle.ingress import Ingress
+from quota_ingress.net.lifecycle.upgrade import SOCKET_NAME, UpgradeCoordinator
+from quota_ingress.net.lifecycle.upgrade_messages import (
+    DrainCall,
+    EndpointCall,
+    EndpointListChange,
+    OperatorNote,
+    ServingState,
+    decode_state,
+    encode,
+    encode_state,
+)
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
 from quota_ingress.policy.customer_quota import counter_name
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
-from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, answers, entry, read_answer, request
+from tests.net_helpers import (
+    HOST,
+    OK,
+    RAW,
+    SETTINGS,
+    Peer,
+    PeerServer,
+    answers,
+    entry,
+    overrides_of_own_directory,
+    read_answer,
+    request,
+)
 from tests.process_helpers import ask, config, listens, start
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
+PACKED = {name: entry(name, 1).packed() for name in ("a", "b")}
+STATE = ServingState(
+    overrides=OverridesSnapshot(index=1, endpoint_count=2, offline=(), restarted_at={}, removed_names=()),
+    is_draining=True,
+    clock_base_us=5,
+)
+DISCOVERY = (HOST, 1)
+
+
+def change(index: int) -> EndpointListChange:
+    return EndpointListChange(DISCOVERY, index - 1, EndpointList.of(index, False, [entry("a", 1)]))
+
+
 class Process:
+    """A participant that only notes what happens to it."""
+
     def __init__(self) -> None:
-        self.notes: list[dict[str, Any]] = []
-        self.taken: list[dict[str, Any]] = []
-        self.changes: list[dict[str, Any]] = []
+        self.notes: list[OperatorNote] = []
+        self.states: list[ServingState] = []
+        self.taken: list[Mapping[str, str]] = []
+        self.changes: list[EndpointListChange] = []
         self.shared: list[bool] = []
         self.given = self.alone = 0
         self.changed = asyncio.Event()
 
-    def described(self) -> dict[str, Any]:
-        return {"drained": True}
+    def serving_state(self) -> ServingState:
+        return STATE
+
+    def list_parts(self) -> list[Mapping[str, str]]:
+        return [{name: packed} for name, packed in PACKED.items()]
 
-    def parts(self) -> list[dict[str, Any]]:
-        return [{"a": "u"}, {"b": "d"}]
+    def restore_list_part(self, entries: Mapping[str, str]) -> None:
+        self.taken.append(entries)
 
-    def take_part(self, part: dict[str, Any]) -> None:
-        self.taken.append(part)
+    def restore_state(self, state: ServingState) -> None:
+        self.states.append(state)
 
     def hand_over(self) -> dict[str, Any]:
         self.given += 1
         return {"accounts": []}
 
-    def noted(self, note: dict[str, Any]) -> None:
+    def apply_operator_note(self, note: OperatorNote) -> None:
         self.notes.append(note)
         self.changed.set()
 
-    def listed_elsewhere(self, change: dict[str, Any]) -> None:
+    def apply_list_change(self, change: EndpointListChange) -> None:
         self.changes.append(change)
         self.changed.set()
 
-    def shares(self, with_other: bool) -> None:
+    def share_descriptors(self, with_other: bool) -> None:
         self.shared.append(with_other)
 
-    def deserted(self) -> None:
+    def on_successor_lost(self) -> None:
         self.alone += 1
         self.changed.set()
 
@@ -81,44 +123,42 @@
                 await self.changed.wait()
 
 
-def ignored(message: Any) -> None: ...
-
-
 async def test_a_new_process_is_told_takes_over_and_both_follow_calls(tmp_path: Path) -> None:
     old, new = Process(), Process()
-    serving, coming = Handover(old, str(tmp_path)), Handover(new, str(tmp_path))
+    serving, coming = UpgradeCoordinator(old, str(tmp_path)), UpgradeCoordinator(new, str(tmp_path))
     serving.offer()
-    told: list[Any] = []
-    assert await coming.find(told.append) == {"drained": True} and (old.given, old.shared) == (0, [True])
-    assert told == [{"drained": True}] and new.taken == list(old.parts())
+    assert await coming.find() and (old.given, old.shared) == (0, [True])
+    assert new.states == [STATE] and new.taken == old.list_parts()
     assert await coming.take() == {"accounts": []} and old.given == 1
-    coming.note({"backend": "a", "out": True})
-    await old.until(lambda: old.notes == [{"backend": "a", "out": True}])
-    serving.note({"drain": True})
-    await new.until(lambda: new.notes == [{"drain": True}])
-    coming.pass_on({"index": 7})  # what discovery tells either of them
-    await old.until(lambda: old.changes == [{"index": 7}])
-    serving.pass_on({"index": 8})
-    await new.until(lambda: new.changes == [{"index": 8}])
+    coming.send_operator_note(EndpointCall("a", is_offline=True))
+    await old.until(lambda: old.notes == [EndpointCall("a", is_offline=True)])
+    serving.send_operator_note(DrainCall(is_draining=True))
+    await new.until(lambda: new.notes == [DrainCall(is_draining=True)])
+    coming.send_list_change(change(7))  # what discovery tells either of them
+    await old.until(lambda: [c.endpoints.index for c in old.changes] == [7])
+    serving.send_list_change(change(8))
+    await new.until(lambda: [c.endpoints.index for c in new.changes] == [8])
+    assert encode(new.changes[0]) == encode(change(8)) and encode(old.changes[0]) == encode(change(7))
     coming.offer()  # for the next one, under the same name
-    third = Handover(Process(), str(tmp_path))
+    third_process = Process()
+    third = UpgradeCoordinator(third_process, str(tmp_path))
     serving.stop()
-    assert await third.find(ignored) == {"drained": True} and old.given == 1
+    assert await third.find() and third_process.states == [STATE] and old.given == 1
     third.stop()
     coming.stop()
 
 
 async def test_a_process_whose_successor_dies_is_told_so(tmp_path: Path) -> None:
     old = Process()
-    serving, coming = Handover(old, str(tmp_path)), Handover(Process(), str(tmp_path))
+    serving, coming = UpgradeCoordinator(old, str(tmp_path)), UpgradeCoordinator(Process(), str(tmp_path))
     serving.offer()
-    await coming.find(ignored)
+    await coming.find()
     await coming.take()
     coming.stop()
     await old.until(lambda: old.alone == 1)
     assert old.shared == [True, False]
-    again = Handover(Process(), str(tmp_path))  # and the next one may take over
-    assert await again.find(ignored) is not None and await again.take() is not None and old.given == 2
+    again = UpgradeCoordinator(Process(), str(tmp_path))  # and the next one may take over
+    assert await again.find() and await again.take() is not None and old.given == 2
     again.stop()
     serving.stop()
 
@@ -126,15 +166,15 @@
 async def test_a_process_that_serves_again_can_be_found_by_the_next(tmp_path: Path) -> None:
     """The one that took over had offered itself before it died: its name is stale, and was in the way."""
     old = Process()
-    serving, coming = Handover(old, str(tmp_path)), Handover(Process(), str(tmp_path))
+    serving, coming = UpgradeCoordinator(old, str(tmp_path)), UpgradeCoordinator(Process(), str(tmp_path))
     serving.offer()
-    await coming.find(ignored)
+    await coming.find()
     await coming.take()
     coming.offer()
     coming.stop()
     await old.until(lambda: old.alone == 1)
     async with asyncio.timeout(5):
-        while (again := Handover(Process(), str(tmp_path))) and await again.find(ignored) is None:
+        while (again := UpgradeCoordinator(Process(), str(tmp_path))) and not await again.find():
             await asyncio.sleep(0.01)
     assert await again.take() is not None and old.given == 2
     again.stop()
@@ -158,9 +198,9 @@
         ran = start(path, (held.fileno(),), **(inherits | faults.environment()))
         port = await asyncio.to_thread(listens, ran)
         faults.clear()
-        coming = Handover(Process(), str(folder))
+        coming = UpgradeCoordinator(Process(), str(folder))
         async with asyncio.timeout(10):
-            while await coming.find(ignored) is None:
+            while not await coming.find():
                 await asyncio.sleep(0.05)
         coming.stop()
         assert port == held.getsockname()[1]
@@ -269,7 +309,7 @@
             lines = {"part": {"a": EndpointEntry(listed).packed()}}, {"answer": state}
             writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
-    server = await asyncio.start_unix_server(answer, tmp_path / NAME)
+    server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
     path, admin = tmp_path / "config.json", free_port()
     path.write_text(json.dumps(config(admin=f"{HOST}:{admin}")))
     with socket.create_server((HOST, 0)) as held:
@@ -325,16 +365,31 @@
     state = {"listing": listing, "out": [], "back": {}, "gone": [], "drained": False}
     lines = {"answer": state}, {"note": {"backend": "a", "out": True}}, {"note": {"drain": True}}
     new = Process()
-    made = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: None)
-    new.noted = lambda note: made.apply_operator_call("a", True) if "backend" in note else None  # type: ignore[method-assign]
+    made = overrides_of_own_directory(lambda: 7_000_000)
+
+    def apply_note(note: OperatorNote) -> None:
+        if isinstance(note, EndpointCall):
+            made.apply_operator_call("a", True)
+
+    new.apply_operator_note = apply_note  # type: ignore[method-assign]
+    restored: list[ServingState] = []
+
+    def restore(state: ServingState) -> None:
+        restored.append(state)
+        made.restore(state.overrides, state.endpoints)
+
+    new.restore_state = restore  # type: ignore[method-assign]
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
-    server = await asyncio.start_unix_server(answer, tmp_path / NAME)
-    coming = Handover(new, str(tmp_path))
-    assert await coming.find(made.restore) == state
+    server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
+    coming = UpgradeCoordinator(new, str(tmp_path))
+    assert await coming.find()
+    (read,) = restored
+    assert read.endpoints and read.endpoints.packed == EndpointList(listing).packed
+    assert read.overrides == OverridesSnapshot(1, 1, (), {}, ()) and not read.is_draining
     assert made.offline == {"a"}
     coming.stop()
     server.close()
@@ -349,45 +404,47 @@
         writer.write(reply)
         writer.close()
 
-    server = await asyncio.start_unix_server(answer, tmp_path / NAME)
-    assert await Handover(Process(), str(tmp_path)).find(ignored) is None
+    server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
+    assert not await UpgradeCoordinator(Process(), str(tmp_path)).find()
     server.close()
 
 
 async def test_a_missing_or_stale_name_does_not_stop_a_start(tmp_path: Path) -> None:
-    assert await Handover(Process(), str(tmp_path)).find(ignored) is None
+    assert not await UpgradeCoordinator(Process(), str(tmp_path)).find()
     with socket.socket(socket.AF_UNIX) as left:
-        left.bind(str(tmp_path / NAME))
-    coming = Handover(Process(), str(tmp_path))
-    assert await coming.find(ignored) is None and await coming.take() is None
+        left.bind(str(tmp_path / SOCKET_NAME))
+    coming = UpgradeCoordinator(Process(), str(tmp_path))
+    assert not await coming.find() and await coming.take() is None
     coming.offer()
-    assert await Handover(Process(), str(tmp_path)).find(ignored) is not None
+    assert await UpgradeCoordinator(Process(), str(tmp_path)).find()
     (tmp_path / "file").write_text("")
-    Handover(Process(), str(tmp_path / "file")).offer()  # cannot: the log says so
+    UpgradeCoordinator(Process(), str(tmp_path / "file")).offer()  # cannot: the log says so
     coming.stop()
 
 
+def through_the_codec(state: ServingState) -> ServingState:
+    return decode_state(json.loads(json.dumps(encode_state(state))))
+
+
 def test_operators_calls_hold_across_an_upgrade() -> None:
     heard: list[Any] = []
-    old = OperatorOverrides(lambda: 7_000_000, lambda listing, kind: heard.append(listing))
-    made = OperatorOverrides(lambda: 9_000_000, lambda listing, kind: heard.append(listing))
-    listing = made.restore(
-        {"listing": {"index": 0, "snapshot": True, "endpoints": []}, "out": [], "back": {}, "gone": []}
-    )
-    listing.packed = {e.name: e.packed() for e in (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3))}
+    old = overrides_of_own_directory(lambda: 7_000_000, heard.append)
+    made = overrides_of_own_directory(lambda: 9_000_000, heard.append)
+    listing = EndpointList.of(0, True, (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3)))
     old.apply_list(listing)
     old.take_offline("a")
     old.take_offline("b")
     old.put_online("b")
     for part in old.entry_batches():  # as it comes through the channel
         made.restore_entries(json.loads(json.dumps(part)))
-    made.apply_list(made.restore(json.loads(json.dumps(old.snapshot()))))
+    state = through_the_codec(ServingState(old.snapshot(), is_draining=False, clock_base_us=1))
+    made.apply_list(made.restore(state.overrides))
     told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
-    made.apply_operator_call("a", out=False)
+    made.apply_operator_call("a", is_offline=False)
     assert heard[-1].entries[0].status == "up" and not made.offline
-    with pytest.raises(ValueError):
+    with pytest.raises(IncompleteListError):
         made.restore(old.snapshot())  # the list itself did not come
 
 
@@ -520,7 +577,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(counter=None)))
     env = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
-    old, new = Ingress(read_config(str(path), env)), Ingress(read_config(str(path), env))
+    old, new = Ingress(load_config(str(path), env)), Ingress(load_config(str(path), env))
     top = old.listener.top
     await old.start()
     old.engine._post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -16,7 +16,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from quota_ingress.__main__ import read_config
+from quota_ingress.config import load_config, reload_config
 from quota_ingress.net.discovery import endpoint_list as listing_module
 from quota_ingress.net.discovery import operator_overrides as maintenance_module
 from quota_ingress.net.discovery.directory import EndpointDirectory
@@ -28,7 +28,7 @@
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.settings_codec import settings_from_json
-from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script
+from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script, overrides_of_own_directory
 from tests.process_helpers import ask, config, listens, start
 from tests.test_net_engine import World, sender
 
@@ -318,7 +318,7 @@
 
 def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(maintenance_module, "MAX_REMOVED_NAMES", 100)
-    maintenance = OperatorOverrides(lambda: 0, lambda listing, kind: None)
+    maintenance = overrides_of_own_directory(lambda: 0)
     maintenance.apply_list(told(box(0)))
     maintenance.take_offline(box(0)["name"])
     for n in range(300):
@@ -374,7 +374,7 @@
     _, errors = ran.communicate(timeout=60)
     assert ran.returncode == 0 and "Traceback" not in errors and "known" not in errors
     assert 30_000 < held < 64_000
-    assert read_config(str(path), {}, again=True).known is None
+    assert reload_config(str(path)).known_endpoints is None
 
 
 def test_a_broken_entry_among_those_held_before_is_told_and_the_whole_list_asked_for(
@@ -384,7 +384,7 @@
     for entries, found in (([box(1), box(2)], 2), ([box(1), box(2) | {"address": "nowhere"}], None)):
         known = {"index": 1, "snapshot": True, "endpoints": entries}
         path.write_text(json.dumps(config(known=known)), "utf-8-sig")
-        read = read_config(str(path), {}).known
+        read = load_config(str(path), {}).known_endpoints
         assert (read and len(read.entries)) == found
     assert "known: not understood" in caplog.text
 
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -14,6 +14,7 @@
 from quota_ingress import __main__ as main_module
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
+from quota_ingress.net.lifecycle import graceful_shutdown
 from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
@@ -247,7 +248,7 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They are connected, and have sent: closing the listener reset them."""
-    monkeypatch.setattr(main_module, "ACCEPTS_ON", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.0)
     backend.heard = answers(OK)
     ingress.listener.pause()
     waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
@@ -255,7 +256,7 @@
         await asyncio.sleep(0)
     while len(asyncio.all_tasks()) < 4:
         await asyncio.sleep(0)
-    await main_module._finish(ingress.engine, ingress.listener)
+    await graceful_shutdown.finish_requests(ingress.engine, ingress.listener)
     for answer in await asyncio.gather(*waiting):
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close\r\n" in answer
 
--- a/tests/test_net_watch.py
+++ b/tests/test_net_watch.py
@@ -12,12 +12,14 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress import __main__ as main_module
+from quota_ingress.config import load_config
 from quota_ingress.net.discovery import endpoint_list as listing_module
 from quota_ingress.net.discovery import retry
 from quota_ingress.net.discovery import watch as discovery_module
 from quota_ingress.net.discovery.endpoint_list import Document, EndpointList
 from quota_ingress.net.discovery.watch import Discovery, Watch
+from quota_ingress.net.lifecycle import ingress as ingress_module
+from quota_ingress.net.lifecycle.ingress import Ingress
 from tests.net_helpers import HOST, Peer, PeerServer
 from tests.process_helpers import config
 
@@ -263,17 +265,17 @@
 # The start.
 
 
-def made_ingress(tmp_path: Path, agent: PeerServer) -> main_module.Ingress:
+def made_ingress(tmp_path: Path, agent: PeerServer) -> Ingress:
     known = told(41, True, leaving="up", staying="up")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(known=known, discovery=f"{HOST}:{agent.port}")))
-    return main_module.Ingress(main_module.read_config(str(path), {}))
+    return Ingress(load_config(str(path), {}))
 
 
 async def test_a_start_takes_no_client_before_it_knows_what_the_agent_has(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(main_module, "AGENT_WAIT", 10.0)
+    monkeypatch.setattr(ingress_module, "LIST_WAIT_SECONDS", 10.0)
     agent = Agent(HEAD + chunk(text(told(42, False, leaving="draining"))))
     await agent.start()
     ingress = made_ingress(tmp_path, agent)
@@ -281,7 +283,7 @@
     listen = ingress.listener.listen
 
     async def listened(host: str, port: int, inherited: int | None = None) -> int:
-        before.append({name: entry.status for name, entry in ingress.maintenance.entries.items()})
+        before.append({name: entry.status for name, entry in ingress.overrides.entries.items()})
         return await listen(host, port, inherited)
 
     monkeypatch.setattr(ingress.listener, "listen", listened)
@@ -292,12 +294,12 @@
 
 
 async def test_a_silent_agent_stops_no_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(main_module, "AGENT_WAIT", 0.01)
+    monkeypatch.setattr(ingress_module, "LIST_WAIT_SECONDS", 0.01)
     agent = Agent()
     await agent.start()
     ingress = made_ingress(tmp_path, agent)
     await ingress.start()
-    assert ingress.ready() and ingress.maintenance.entries["leaving"].status == "up"
+    assert ingress.ready() and ingress.overrides.entries["leaving"].status == "up"
     await stopped(ingress)
     agent.stop()
 
@@ -319,8 +321,7 @@
     await new.start()
     ingress = made_ingress(tmp_path, old)
     await ingress.start()
-    assert ingress.sources
-    done, listed = asyncio.Event(), ingress.maintenance.apply_list
+    done, listed = asyncio.Event(), ingress.overrides.apply_list
 
     def listed_then_read(listing: EndpointList, kind: Any = None) -> None:
         listed(listing, kind)
@@ -328,23 +329,22 @@
             done.set()
             watches[0].data_received(chunk(text(told(43, False, leaving="up"))))
 
-    monkeypatch.setattr(ingress.maintenance, "apply_list", listed_then_read)
+    monkeypatch.setattr(ingress.overrides, "apply_list", listed_then_read)
     path = tmp_path / "other.json"
     path.write_text(json.dumps(config(discovery=f"{HOST}:{new.port}")))
-    ingress.sources.reload(str(path))
+    ingress.reload(str(path))
     async with asyncio.timeout(10):
         await done.wait()
-    assert list(ingress.maintenance.entries) == ["staying"] and ingress.maintenance.index == 7
+    assert list(ingress.overrides.entries) == ["staying"] and ingress.overrides.index == 7
     await stopped(ingress)
     old.stop()
     new.stop()
 
 
-async def stopped(ingress: main_module.Ingress) -> None:
-    assert ingress.sources
-    ingress.sources.stop()
+async def stopped(ingress: Ingress) -> None:
+    ingress.control_plane.stop()
     ingress.listener.stop()
-    ingress.backends.stop()
+    ingress.upstream.stop()
     ingress.admin.stop()
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from quota_ingress import __main__ as main_module
+from quota_ingress.net.lifecycle.ingress import LIST_WAIT_SECONDS
 from tests.net_helpers import HOST, PeerServer
 from tests.process_helpers import config, listens, start
 
@@ -72,7 +72,7 @@
     used, took = min(cpu for cpu, _ in found), min(wall for _, wall in found)
     waits = took - used
     assert used < MOST * least
-    assert waits < main_module.AGENT_WAIT + 0.5
+    assert waits < LIST_WAIT_SECONDS + 0.5
     assert used / SHARE + waits < READY
     agent.stop()
     counter.stop()
