--- a/quota_ingress/net/lifecycle/graceful_shutdown.py
+++ b/quota_ingress/net/lifecycle/graceful_shutdown.py
@@ -38,16 +38,16 @@
         await asyncio.sleep(IDLE_CHECK_SECONDS)
 
 
-async def check_nothing_left(open_counts: Mapping[str, Callable[[], int]], trace: EventLog) -> None:
+async def check_nothing_left(open_counts: Mapping[str, Callable[[], int]], event_log: EventLog) -> None:
     """Reports what still counts as open once everything has been closed: it was leaked on the way.
 
     Args:
         open_counts: What is counted, by its name in the report.
-        trace: Where a leak is reported as a violation.
+        event_log: Where a leak is reported as a violation.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + CLOSE_SECONDS
     while any(count() for count in open_counts.values()) and loop.time() < end:
         await asyncio.sleep(0)
     if left := {name: count() for name, count in open_counts.items() if count()}:
-        trace.violation("left behind", **left)
+        event_log.violation("left behind", **left)
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -14,7 +14,7 @@
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MemoryBudget
 from quota_ingress.net.lifecycle.graceful_shutdown import check_nothing_left, finish_requests
@@ -42,19 +42,18 @@
         self._known_endpoints = config.known_endpoints  # until taken in: a long list is not held twice
         self.stopping = asyncio.Event()  # set by a signal, or once nothing is left after an upgrade
         self.clock = Clock()
-        self.trace = EventLog.from_environment()
+        self.event_log = EventLog.from_environment()
         self.descriptors = DescriptorBudget(config.max_descriptors, operator_descriptors)
         self.memory = MemoryBudget(config.memory_mb)
-        self.engine = self._build_engine()
         self.upstream = self._build_upstream()
-        self.engine.upstream = self.upstream
+        self.engine = self._build_engine()
         self.overrides = OperatorOverrides(
             self.clock.now, self.engine.update_endpoints, self.engine.directory
         )
-        self.engine.restored_at = self.overrides.restarted_at
+        self.engine.endpoints.restored_at = self.overrides.restarted_at
         self.listener = Listener(self.engine, self.descriptors, self.clock.now, self.memory)
         self.control_plane = ControlPlaneClients(self.engine, self.overrides, self._config)
-        self.reloader = ConfigReloader(self.control_plane.apply, self.trace)
+        self.reloader = ConfigReloader(self.control_plane.apply, self.event_log)
         self.admin = AdminServer(self, operator_descriptors)
         self._upgrade_process = UpgradeProcess(self._shared_parts(), self.stopping)
         self._upgrade = self._build_upgrade_coordinator()
@@ -75,7 +74,7 @@
         if has_predecessor:
             await self._take_over()
         port = await self.listener.listen(*config.listen, config.inherited_listener)
-        self.trace.event("process", "serving")
+        self.event_log.event("process", "serving")
         log.info("listening on %s:%d", config.listen.host, port)
         if self._upgrade:
             self._upgrade.offer()
@@ -87,7 +86,7 @@
     async def stop(self) -> None:
         """Shuts down gracefully, and reports what was counted and what was left open."""
         self._upgrade_process.stop()
-        self.trace.event("process", "stopping", open=self.engine.in_flight)
+        self.event_log.event("process", "stopping", open=self.engine.in_flight)
         await finish_requests(self.engine, self.listener)
         self.reloader.stop()
         self.control_plane.stop()
@@ -102,9 +101,9 @@
             "backend connections": lambda: self.descriptors.backends.open,
             "bytes": lambda: self.memory.held,
         }
-        await check_nothing_left(open_counts, self.trace)
-        self.trace.event("process", "ended")
-        log.info("counts: %s", self.trace.summary())
+        await check_nothing_left(open_counts, self.event_log)
+        self.event_log.event("process", "ended")
+        log.info("counts: %s", self.event_log.summary())
 
     # Operators' calls: see OperatorControls.
 
@@ -142,7 +141,7 @@
         names = SettingsIndex(config.settings, config.settings_document)
         gateway = Gateway(config.settings, config.seed)
         loop = asyncio.get_running_loop()
-        return Engine(gateway, config.settings, names, loop, self.clock.now, self.trace)
+        return Engine(gateway, config.settings, names, self.upstream, loop, self.clock.now, self.event_log)
 
     def _build_upstream(self) -> UpstreamClient:
         settings = self._config.settings
@@ -152,7 +151,7 @@
             settings.limits.connect_timeout,
             self.memory,
             settings.fleet_size,
-            self.trace,
+            self.event_log,
         )
 
     def _build_upgrade_coordinator(self) -> UpgradeCoordinator | None:
--- a/quota_ingress/net/lifecycle/reload.py
+++ b/quota_ingress/net/lifecycle/reload.py
@@ -29,9 +29,9 @@
 class ConfigReloader:
     """Reads the configuration file again, and hands what makes sense to its user."""
 
-    def __init__(self, apply: Callable[[Config], None], trace: EventLog) -> None:
+    def __init__(self, apply: Callable[[Config], None], event_log: EventLog) -> None:
         self._apply = apply
-        self._trace = trace
+        self._event_log = event_log
         self._retry: asyncio.TimerHandle | None = None
 
     def reload(self, path: str) -> None:
@@ -50,17 +50,17 @@
         try:
             config = reload_config(path)
         except ConfigUnreadableError as error:
-            self._trace.event("reload", "unreadable", error=str(error))
+            self._event_log.event("reload", "unreadable", error=str(error))
             loop = asyncio.get_running_loop()
             if loop.time() < deadline:
                 self._retry = loop.call_later(REREAD_INTERVAL_SECONDS, self._attempt, path, deadline)
             else:
                 log.warning("configuration not read anew, the old one stays: %s", error)
         except ConfigError as error:
-            self._trace.event("reload", "not read")
+            self._event_log.event("reload", "not read")
             log.warning("configuration not read anew, the old one stays: %s", error)
         else:
-            self._trace.event("reload", "read", discovery=config.discovery, counter=config.counter)
+            self._event_log.event("reload", "read", discovery=config.discovery, counter=config.counter)
             self._apply(config)
 
 
@@ -143,7 +143,7 @@
             config.settings.fleet_size,
             in_force_seconds,
             self._engine.directory,
-            self._engine.trace,
+            self._engine.event_log,
         )
         return discovery
 
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -98,7 +98,7 @@
         """See UpgradeParticipant."""
         engine = self._parts.engine
         log.info("handover: another process accepts from now on")
-        engine.trace.event("process", "handed over", open=engine.in_flight)
+        engine.event_log.event("process", "handed over", open=engine.in_flight)
         self._parts.listener.hand_over()
         self._leaving = asyncio.get_running_loop().create_task(self._leave())
         return engine.hand_over()
@@ -125,7 +125,7 @@
         if self._stopping.is_set():
             return
         log.warning("handover: the process that took over is gone, accepting again")
-        self._parts.engine.trace.event("process", "serving again")
+        self._parts.engine.event_log.event("process", "serving again")
         if self._leaving:
             self._leaving.cancel()
         self._parts.listener.take_back()
--- /dev/null
+++ b/quota_ingress/policy/admission.py
@@ -0,0 +1,223 @@
+"""Admission control: whether a request is within its customer's quota.
+
+The questions are asked in this order:
+
+1. The plan's cap on attempts in flight.
+2. The customer's quota: units leased from the shared counter, or a new lease (`leased_quota`,
+   `counted_quota`).
+3. Where the counter cannot be asked, this gateway's part of the quota (`local_allowance`).
+4. For what is over the quota, the borrowing ring: a rejection with or without Retry-After.
+
+After "Re-synchronization and Controllability of Bursty Service Requests" (Abacus Filters); the leases are not
+in the paper, whose filter is the only one before its service.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol
+
+from quota_ingress.policy.actions import Action, AddToCounter, SetTimer
+from quota_ingress.policy.call_pacing import CallPacing
+from quota_ingress.policy.counted_quota import WIDE_CUSTOMER_GATEWAYS, CountedQuota
+from quota_ingress.policy.customer_quota import CustomerQuota, Verdict
+from quota_ingress.policy.durations import SECOND
+from quota_ingress.policy.events import NEVER_RAN, CounterAnswered, RequestArrived
+from quota_ingress.policy.lease import CounterCall, LeaseStatistics
+from quota_ingress.policy.leased_quota import LeasedQuota
+from quota_ingress.policy.request_state import Request
+from quota_ingress.policy.settings import Plan, Settings
+from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
+
+OPTIONAL_WORK_MAX_USAGE = 0.6  # of the fleet's capacity in use, above which only what has to be sent is sent
+
+
+class RequestLifecycle(Protocol):
+    """What admission needs of the part that forwards and answers requests."""
+
+    now: int  # us
+    actions: list[Action]  # decided so far in answer to the present event
+
+    def send(self, request: Request) -> bool:
+        """Sends the request's next attempt; returns whether one was sent. Otherwise it may be answered."""
+
+    def reject(self, request: Request, retry_after: int) -> None:
+        """Answers the request with a rejection; `retry_after` in us, 0 for no advice."""
+
+
+class AdmissionController:
+    """Holds the quotas of all customers, and decides who is admitted."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        rng: random.Random,
+        fleet_usage: Callable[[], float],
+        requests: RequestLifecycle,
+    ) -> None:
+        """Makes a controller without customers.
+
+        Args:
+            settings: The gateway's settings.
+            rng: The gateway's source of random numbers.
+            fleet_usage: Returns the fraction in use of the capacity of all endpoints.
+            requests: Forwards and answers the requests that are decided on.
+        """
+        self._settings = settings
+        self._rng = rng
+        self._fleet_usage = fleet_usage
+        self._requests = requests
+        self._statistics = LeaseStatistics(settings.plans)
+        self.customers: dict[int, CustomerQuota] = {}
+        self.pending_calls: dict[int, deque[CounterCall]] = {}  # by counter name, the oldest first
+        self.call_pacing = CallPacing(settings.counter, settings.fleet_size)
+        limits = settings.limits
+        longest_followed = limits.max_retry_after if limits.sends_retry_after else 0
+        self.retry_after = longest_followed or SECOND  # us; T0 and d_0 of the paper
+
+    def quota_for(self, event: RequestArrived) -> CustomerQuota:
+        """Returns the quota of the request's customer, a new one for a customer not seen lately."""
+        quota = self.customers.get(event.customer)
+        if quota is None:
+            gateway_count = min(self._settings.fleet_size, max(1, event.gateway_count))
+            quota = self._new_quota(self._settings.plans[event.plan], gateway_count, self._requests.now)
+            self.customers[event.customer] = quota
+        return quota
+
+    def _new_quota(self, plan: Plan, gateway_count: int, now: int) -> CustomerQuota:
+        if gateway_count <= WIDE_CUSTOMER_GATEWAYS:
+            return LeasedQuota(plan, gateway_count, self.retry_after, now)
+        return CountedQuota(
+            plan,
+            gateway_count,
+            self.retry_after,
+            now,
+            counter_allowed=self._settings.counter.allowed,
+            statistics=self._statistics,
+        )
+
+    def on_arrival(self, request: Request) -> None:
+        """Counts a new request as demand of its customer, and decides on it."""
+        event = request.event
+        request.account.record_arrival(self._requests.now, event.units, event.is_retry)
+        self._admit(request)
+
+    def on_timer(self, request: Request) -> None:
+        """Decides on a request that was deferred until the counter may be called."""
+        if request not in request.account.waiting:
+            self._admit(request)
+
+    def _admit(self, request: Request, answered: bool = False) -> None:
+        """Decides on a request; `answered`: the counter's answer to its lease has just come."""
+        quota = request.account
+        now = self._requests.now
+        if quota.plan.max_in_flight and quota.in_flight >= quota.plan.max_in_flight:
+            self._reject_or_defer(request)
+            return
+        match quota.assess(request, now, self.call_pacing, answered):
+            case Verdict.ADMIT:
+                if self._requests.send(request):
+                    quota.spend(request.event.units)
+            case Verdict.OVER_QUOTA:
+                self._reject_or_defer(request)
+            case Verdict.AWAIT_LEASE:
+                quota.waiting.append(request)
+            case Verdict.REQUEST_LEASE:
+                quota.waiting.append(request)
+                self._call(quota.request_lease(now, self.call_pacing.congestion))
+            case Verdict.DEFER:
+                call_at = max(now, self.call_pacing.next_call_at) + self._settings.tick
+                self._requests.actions.append(SetTimer(request.event.request, call_at))
+            case Verdict.WITHOUT_COUNTER:
+                self._admit_without_counter(request)
+
+    def _admit_without_counter(self, request: Request) -> None:
+        """Decides by the local allowance; by a draw where that is less than the request."""
+        quota = request.account
+        units = request.event.units
+        now = self._requests.now
+        fraction = quota.admitted_fraction_without_counter(now, units, request.event.is_retry)
+        if self._rng.random() >= fraction:
+            quota.local_allowance.units -= (
+                units * fraction
+            )  # a second draw for it would make the chance larger
+            self._reject_or_defer(request)
+        elif self._requests.send(request):
+            quota.spend_without_counter(now, units)
+
+    def _reject_or_defer(self, request: Request) -> None:
+        """Rejects a request over its quota; Retry-After names the wait where the ring has capacity.
+
+        Where the plan earns more than it costs beyond the quota, the request is sent instead while the fleet
+        has capacity to spare.
+        """
+        plan = request.account.plan
+        if plan.over_quota_earnings > plan.over_quota_cost and self._fleet_usage() < OPTIONAL_WORK_MAX_USAGE:
+            self._requests.send(request)
+        else:
+            retry_after = request.account.book_retry(self._requests.now, request.event.units)
+            self._requests.reject(request, retry_after)
+
+    def _call(self, call: CounterCall) -> None:
+        self._requests.actions.append(AddToCounter(call.counter_name, call.amount, call.ttl))
+        self.pending_calls.setdefault(call.counter_name, deque()).append(call)
+        self.call_pacing.on_call(self._requests.now)
+
+    def on_counter_answer(self, event: CounterAnswered) -> None:
+        """Ends the oldest call of that name, and decides on the requests that waited for it."""
+        call = self._take_pending_call(event.name)
+        if call is None:
+            return
+        now = self._requests.now
+        answered = self.call_pacing.on_answer(now, event.outcome, event.total, event.latency)
+        quota = call.quota
+        quota.on_call_ended(call, now, was_added=event.outcome not in NEVER_RAN)
+        if not call.is_lease:
+            return
+        if answered:
+            for correction in quota.on_lease_answer(call, event, now, self._rng):
+                self._call(correction)
+        for request in quota.take_waiting():
+            if answered:
+                self._admit(request, answered=True)
+            else:
+                self._admit_without_counter(request)
+
+    def _take_pending_call(self, name: int) -> CounterCall | None:
+        calls = self.pending_calls.get(name)
+        if calls is None:
+            return None
+        call = calls.popleft()
+        if not calls:
+            del self.pending_calls[name]
+        return call
+
+    def discard_idle_customers(self) -> None:
+        """Drops the customers whose state is of no use any more: their buckets must be full again."""
+        now = self._requests.now
+        self.customers = {
+            customer: quota
+            for customer, quota in self.customers.items()
+            if now - quota.demand.updated_at < quota.retention()
+        }
+
+    def hand_over(self) -> tuple[CustomerQuotaSnapshot, ...]:
+        """Returns the state of all customers; leases and unreported units are no longer this gateway's."""
+        return tuple(
+            quota.hand_over(customer, self._settings.plans.index(quota.plan))
+            for customer, quota in self.customers.items()
+        )
+
+    def restore(self, snapshots: tuple[CustomerQuotaSnapshot, ...]) -> None:
+        """Takes over customers from another process, but for those known here or unfit for the settings."""
+        plans = self._settings.plans
+        for snapshot in snapshots:
+            has_plan = 0 <= snapshot.plan < len(plans)
+            fits_fleet = 0 < snapshot.gateway_count <= self._settings.fleet_size
+            if has_plan and fits_fleet and snapshot.customer not in self.customers:
+                plan = plans[snapshot.plan]
+                quota = self._new_quota(plan, snapshot.gateway_count, snapshot.remaining_at)
+                quota.restore(snapshot)
+                self.customers[snapshot.customer] = quota
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -23,7 +23,7 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
 from quota_ingress.net.discovery.operator_overrides import IncompleteListError, OverridesSnapshot
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.engine.names import SettingsIndex
+from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
 from quota_ingress.net.lifecycle.ingress import Ingress
 from quota_ingress.net.lifecycle.upgrade import SOCKET_NAME, UpgradeCoordinator
@@ -38,10 +38,10 @@
     encode_state,
 )
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
-from quota_ingress.policy.customer_quota import counter_name
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.lease import counter_name
 from tests.net_helpers import (
     HOST,
     OK,
@@ -468,14 +468,17 @@
     for gateway in (old, new):
         listed(gateway, now)
     number = 0
-    while not (left := old.accounts[7].leased_units if number else 0.0):
+    while not (left := old.admission.customers[7].bucket.leased_units if number else 0.0):
         number, now = number + 1, now + 100_000
         lease(old, now, number)
         assert number < 50
     old.fleet.backends[1].limit = 9.0
     carried = old.hand_over()
     new.restore(carried)
-    assert new.accounts[7].leased_units == left and old.accounts[7].leased_units == 0
+    assert (
+        new.admission.customers[7].bucket.leased_units == left
+        and old.admission.customers[7].bucket.leased_units == 0
+    )
     assert new.fleet.backends[1].limit == 9.0
     actions, asked = lease(new, now, 1)
     assert asked == 0 and any(isinstance(a, SendAttempt) for a in actions)  # from the lease
@@ -487,13 +490,9 @@
         def call_later(self, *_: object) -> Any: ...
 
     def engine() -> Engine:
-        made = Engine(
-            Gateway(SETTINGS, 1), SETTINGS, SettingsIndex(SETTINGS, RAW), Loop(), lambda: 1_000_000_000
-        )
-        made.upstream = type(
-            "None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None}
-        )()
-        return made
+        upstream = type("None", (), {"register_endpoint": lambda *_: None, "reconcile": lambda *_: None})()
+        index = SettingsIndex(SETTINGS, RAW)
+        return Engine(Gateway(SETTINGS, 1), SETTINGS, index, upstream, Loop(), lambda: 1_000_000_000)
 
     whole = json.loads(json.dumps(engine().hand_over()))
     engine().restore(whole)
@@ -507,7 +506,7 @@
     odd = [account | {"plan": 9}, account | {"spread": 0}, account | {"sums": [1.0]}, account]
     kept = engine()
     kept.restore(whole | {"accounts": odd})
-    assert len(kept._gateway.accounts) == 1  # type: ignore[attr-defined]
+    assert len(kept._policy.admission.customers) == 1  # type: ignore[attr-defined]
 
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
@@ -580,10 +579,10 @@
     old, new = Ingress(load_config(str(path), env)), Ingress(load_config(str(path), env))
     top = old.listener.top
     await old.start()
-    old.engine._post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
+    old.engine.post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
     assert old.listener.top < top and new.listener.top < top
-    assert 7 in new.engine._gateway.accounts  # type: ignore[attr-defined]
+    assert 7 in new.engine._policy.admission.customers  # type: ignore[attr-defined]
     assert not old.ready() and old.listener.handed and not new.listener.handed
     async with asyncio.timeout(10):
         await old.stopping.wait()  # it has nothing left
