--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -14,10 +14,11 @@
 
 from ingress_testbed.model import Shape, address
 from quota_ingress.net.clock import Clock
-from quota_ingress.net.counter.client import Counter
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.counter.client import CounterClient
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.watch import Discovery
+from quota_ingress.net.discovery.watch import DiscoveryWatch
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.engine.requests import ParsedRequest
@@ -104,9 +105,11 @@
         self.engine = Engine(gateway, settings, index, HollowUpstream(), loop, clock.now)
         directory = self.engine.directory
         self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, directory=directory)
-        self.counter = Counter(counter, settings.counter.timeout, settings.fleet_size)
+        self.counter = CounterClient(counter, settings.counter.timeout, settings.fleet_size)
         self.engine.counter = self.counter
-        self.discovery = Discovery(discovery, None, self._listed, settings.fleet_size, directory=directory)
+        self.discovery = DiscoveryWatch(
+            discovery, None, self._listed, settings.fleet_size, directory=directory
+        )
         self._room = MemoryBudget()
         self._number = 0
 
@@ -116,7 +119,7 @@
 
     def _listed(self, listing: EndpointList) -> None:
         self.maintenance.apply_list(listing)
-        self.seen[listing.index] = time.monotonic()
+        self.seen[listing.version] = time.monotonic()
 
     async def asks(self, rate: float, seconds: float, customers: int, spread: int) -> None:
         """Requests at drawn moments, straight into the engine."""
@@ -126,7 +129,7 @@
             await asyncio.sleep(max(0.0, due - loop.time()))
             self._number += 1
             body = Body(self._room)
-            body.whole = True
+            body.complete = True
             wanted = ParsedRequest(
                 b"%x-%x" % (settings.gateway_index, self._number),
                 0,
--- a/quota_ingress/config.py
+++ b/quota_ingress/config.py
@@ -12,7 +12,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-from quota_ingress.net.discovery.endpoint_list import EndpointList, pack, skip
+from quota_ingress.net.discovery.endpoint_codec import (
+    decode_endpoint_list,
+    discard_listed_endpoint,
+    pack_listed_endpoint,
+)
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.policy.settings import Settings
 from quota_ingress.settings_codec import settings_from_json
 
@@ -76,7 +81,7 @@
         ConfigUnreadableError: The file cannot be read.
         ConfigError: The file is no JSON, a key is missing, or a value makes no sense.
     """
-    document = _read_document(path, pack)
+    document = _read_document(path, pack_listed_endpoint)
     config = _parse_config(document, environment)
     return replace(config, known_endpoints=_parse_known_endpoints(document))
 
@@ -91,7 +96,7 @@
         ConfigUnreadableError: The file cannot be read.
         ConfigError: The file is no JSON, a key is missing, or a value makes no sense.
     """
-    return _parse_config(_read_document(path, skip), {})
+    return _parse_config(_read_document(path, discard_listed_endpoint), {})
 
 
 def _read_document(path: str, object_hook: Callable[[Document], Any]) -> Document:
@@ -163,9 +168,9 @@
 
 def _parse_known_endpoints(document: Document) -> EndpointList | None:
     """A list that cannot be read stops no start: discovery is asked for the whole one."""
-    raw = document.get("known")
+    known = document.get("known")
     try:
-        return EndpointList({"index": 0, "snapshot": True, "endpoints": []} if raw is None else raw)
+        return EndpointList(0, True, {}) if known is None else decode_endpoint_list(known)
     except ValueError as error:
         log.warning("known: not understood, asking for the whole list: %s", error)
         return None
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -14,10 +14,8 @@
 from typing import NamedTuple, Protocol
 from urllib.parse import unquote
 
-import httptools
-
 from quota_ingress.net.acceptor import Acceptor, listening_socket
-from quota_ingress.net.http import HttpConnection, MemoryBudget, Message
+from quota_ingress.net.http import FramingError, HttpConnection, MemoryBudget, Message, RequestReader
 
 LIST_WAIT_SECONDS = 0.7  # that a call waits at a start until the endpoint list and the bans are known
 CALL_TIMEOUT_SECONDS = 3.0  # for a call to come whole
@@ -187,7 +185,7 @@
     """One operator's connection: one call; what comes behind it is ignored."""
 
     def __init__(self, server: AdminServer) -> None:
-        super().__init__(httptools.HttpRequestParser, MemoryBudget())
+        super().__init__(RequestReader(MemoryBudget()))
         self._server = server
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -198,19 +196,19 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """See asyncio.BaseProtocol."""
         super().connection_lost(exc)
-        self._message.body.release()
+        self.reader.message.body.release()
         self._server.unregister(self)
 
-    def came(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """See HttpConnection. A call has no body worth reading."""
-        if message.body.long:
+        if message.body.is_long:
             self.answer(Answer(Status.CONTENT_TOO_LARGE, "a call has no body"))
-        elif message.body.whole and self in self._server.connections:
+        elif message.body.complete and self in self._server.connections:
             self._server.on_call(self, message.method, message.target)
 
-    def garbage(self, status: int) -> None:
+    def protocol_error(self, error: FramingError) -> None:
         """See HttpConnection."""
-        self.answer(Answer(Status(status), "not understood"))
+        self.answer(Answer(Status(error.status), "not understood"))
 
     def answer(self, answer: Answer) -> None:
         """Writes the answer and closes, unless that has been done."""
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -9,12 +9,15 @@
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import replace
 from itertools import islice
 from typing import NamedTuple
 
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import REMOVED, EndpointEntry, EndpointList
-from quota_ingress.policy.endpoint_list import ListKind
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
+from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
 MAX_REMOVED_NAMES = 5000  # that operators may still call by: six hours' worth of the largest fleet
 ENTRIES_PER_BATCH = 1000
@@ -29,7 +32,7 @@
 class OverridesSnapshot(NamedTuple):
     """The operators' overrides, and the size of the list that they are laid over, for another process."""
 
-    list_index: int  # the endpoint list's version
+    list_version: int
     endpoint_count: int
     offline: tuple[str, ...]
     restarted_at: Mapping[str, int]  # us of the shared clock, by name, of those put back online
@@ -48,7 +51,7 @@
             directory: The table of endpoints into which `publish` takes them.
         """
         self.offline: set[str] = set()
-        self.index = 0  # the version of the endpoint list
+        self.list_version = 0
         self._restart_moments: dict[str, int] = {}  # us, by name: when operators put it back online
         self._start_when_restored: dict[
             str, int
@@ -58,7 +61,7 @@
         self._directory = directory
         self._as_discovered: dict[str, EndpointEntry] = {}  # of listed endpoints with an override
         self._removed_names: OrderedDict[str, None] = OrderedDict()  # the oldest first
-        self._incoming_entries: dict[str, str] = {}  # packed, by name, of the other process's list
+        self._incoming_entries: dict[str, PackedEntry] = {}  # by name, of the other process's list
 
     @property
     def entries(self) -> Mapping[str, EndpointEntry]:
@@ -73,31 +76,31 @@
         self._forget_removed(endpoints)
         packed = endpoints.packed
         for name in self._overridden_names(endpoints):
-            if packed[name][0] != REMOVED:
-                entry = EndpointEntry.unpacked(name, packed[name])
+            if not is_removed(packed[name]):
+                entry = unpack_entry(name, packed[name])
                 self._as_discovered[name] = entry
-                packed[name] = self._with_override(entry).packed()
-        self.index = endpoints.index
+                packed[name] = pack_entry(self._with_override(entry))
+        self.list_version = endpoints.version
         self._publish(endpoints, kind)
 
     def snapshot(self) -> OverridesSnapshot:
         """Returns the overrides for another process of this ingress."""
         unlisted = (self._removed_names.keys() | self.offline) - self._directory.keys()
         return OverridesSnapshot(
-            list_index=self.index,
+            list_version=self.list_version,
             endpoint_count=len(self._directory),
             offline=tuple(sorted(self.offline)),
             restarted_at=dict(self._restart_moments),
             removed_names=tuple(sorted(unlisted)),
         )
 
-    def entry_batches(self) -> Iterator[dict[str, str]]:
+    def entry_batches(self) -> Iterator[dict[str, PackedEntry]]:
         """Yields the list as discovery sent it, packed, some entries at a time to bound the memory taken."""
         names = iter(self._directory)
         while batch := list(islice(names, ENTRIES_PER_BATCH)):
             yield {name: self._packed_as_discovered(name) for name in batch}
 
-    def restore_entries(self, entries: Mapping[str, str]) -> None:
+    def restore_entries(self, entries: Mapping[str, PackedEntry]) -> None:
         """Takes a batch of the other process's list, before `restore`."""
         self._incoming_entries.update(entries)
 
@@ -116,8 +119,7 @@
         if endpoints is None:
             if len(incoming) != snapshot.endpoint_count:
                 raise IncompleteListError(f"{len(incoming)} backends of {snapshot.endpoint_count}")
-            endpoints = EndpointList({"index": snapshot.list_index, "snapshot": True, "endpoints": []})
-            endpoints.packed = incoming
+            endpoints = EndpointList(snapshot.list_version, True, incoming)
         for name in snapshot.removed_names:
             self._remember_name(name)
         self.offline = set(snapshot.offline)
@@ -165,7 +167,7 @@
 
     def _forget_removed(self, endpoints: EndpointList) -> None:
         packed = endpoints.packed
-        removed: Iterable[str] = [name for name in packed if packed[name][0] == REMOVED]
+        removed: Iterable[str] = [name for name in packed if is_removed(packed[name])]
         if endpoints.is_snapshot:
             self._as_discovered.clear()
             removed = [*removed, *(name for name in self._directory if name not in packed)]
@@ -173,10 +175,10 @@
             self._as_discovered.pop(name, None)
             self._remember_name(name)
 
-    def _packed_as_discovered(self, name: str) -> str:
+    def _packed_as_discovered(self, name: str) -> PackedEntry:
         if name in self._as_discovered:
-            return self._as_discovered[name].packed()
-        return self._directory.text(name)
+            return pack_entry(self._as_discovered[name])
+        return self._directory.packed_entry(name)
 
     def _is_known(self, name: str) -> bool:
         return name in self._directory or name in self.offline or name in self._removed_names
@@ -190,11 +192,13 @@
     def _publish_entry(self, name: str) -> None:
         if name in self._directory:
             entry = self._as_discovered.setdefault(name, self._directory[name])
-            self._publish(EndpointList.of(self.index, False, [self._with_override(entry)]), None)
+            self._publish(
+                EndpointList.from_entries(self.list_version, False, [self._with_override(entry)]), None
+            )
 
     def _with_override(self, entry: EndpointEntry) -> EndpointEntry:
-        if entry.status == "up" and entry.name in self.offline:
-            return entry.replaced(status="draining")
+        if entry.state is EndpointState.READY and entry.name in self.offline:
+            return replace(entry, state=EndpointState.DRAINING)
         if entry.name not in self._restart_moments:
             return entry
         # Discovery's moments and ours are of two clocks, so only a change of discovery's own moment counts.
@@ -203,4 +207,4 @@
             del self._restart_moments[entry.name]
             del self._start_when_restored[entry.name]
             return entry
-        return entry.replaced(since_us=self._restart_moments[entry.name])
+        return replace(entry, started_us=self._restart_moments[entry.name])
--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -69,7 +69,7 @@
             return
         if not request.body_coming:
             self.start_timer(request, attempt)
-        body_is_held = parsed.body.whole and not parsed.body.long
+        body_is_held = parsed.body.complete and not parsed.body.is_long
         request_class = self.settings.classes[parsed.request_class]
         attempt.exchange = self._upstream.send(
             endpoint,
@@ -159,7 +159,7 @@
             backend=attempt.backend,
             told_us=time_left,
         )
-        held = bytes(body.data) if body.whole and not body.long else b""
+        held = bytes(body.data) if body.complete and not body.is_long else b""
         return b"Request-Timeout: %dm\r\n\r\n%b" % (max(1, time_left // 1000), held)
 
     def _is_denied(self, request: Request, attempt: Attempt, now: int) -> bool:
--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -7,15 +7,14 @@
 from dataclasses import dataclass, field
 
 from quota_ingress.net.discovery.directory import EndpointDirectory
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
-from quota_ingress.net.discovery.start_times import StartTimes, reserve
+from quota_ingress.net.discovery.endpoint import EndpointEntry
+from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.start_times import StartTimes, age_tolerance
 from quota_ingress.net.engine.ports import Upstream
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.settings import Settings
-from quota_ingress.policy.subsetting import deal
-
-STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
+from quota_ingress.policy.subsetting import assign_subset
 
 
 @dataclass(slots=True)
@@ -48,12 +47,12 @@
         """Starts empty; entries are registered with `upstream` before the policy hears of them."""
         self.directory = EndpointDirectory()
         self.numbers: dict[str, int] = {}
-        self.subset = deal(settings.gateway_index, settings.fleet_size, 0)
+        self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
         self.restored_at: Callable[[str], int] = lambda name: 0
         self._settings = settings
         self._index = index
         self._upstream = upstream
-        self._start_times = StartTimes(reserve(settings.safety))
+        self._start_times = StartTimes(age_tolerance(settings.safety))
         self._last_number = 0
         self._ready: set[str] = set()
 
@@ -65,10 +64,10 @@
     def update(self, listing: EndpointList, kind: ListKind | None, now: int) -> EndpointUpdate:
         """Takes in a list or a change of it at `now` (us); `kind` is by default what the list says."""
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
-        self.directory.take(listing)
+        self.directory.apply(listing)
         subset_before = self.subset
-        self.subset = deal(
-            self._settings.gateway_index, self._settings.fleet_size, self.directory.up, subset_before
+        self.subset = assign_subset(
+            self._settings.gateway_index, self._settings.fleet_size, self.directory.ready_count, subset_before
         )
         change = _Change()
         for name in self._changed(listing, self.subset != subset_before):
@@ -77,8 +76,8 @@
         listed = [self._listed_endpoint(entry, number, now) for entry, number in told]
         if not listing.is_snapshot:
             listed += [_removed_endpoint(number) for number in change.removed]
-        ready_total = self.directory.up if self.subset.held > 1 else 0
-        event = EndpointsListed(kind, listing.index, tuple(listed), ready_total)
+        ready_total = self.directory.ready_count if self.subset.candidate_parts > 1 else 0
+        event = EndpointsListed(kind, listing.version, tuple(listed), ready_total)
         return EndpointUpdate(event, change.removed)
 
     def _changed(self, listing: EndpointList, subset_changed: bool) -> Iterable[str]:
@@ -96,9 +95,9 @@
 
         One that is draining is not taken in for its place in the subset, but stays where it was.
         """
-        if name not in self.directory or not self.subset.holds(hash_key(name)):
+        if name not in self.directory or not self.subset.is_candidate(hash_key(name)):
             return False
-        return self.subset.held == 1 or name in self.numbers or self.directory.is_up(name)
+        return self.subset.candidate_parts == 1 or name in self.numbers or self.directory.is_ready(name)
 
     def _apply(self, name: str, change: _Change) -> None:
         if self.in_subset(name):
@@ -115,7 +114,7 @@
         entry = self.directory[name]
         number = self.numbers[name]
         self._upstream.register_endpoint(entry, number)
-        if entry.status == "up":
+        if entry.state is EndpointState.READY:
             self._ready.add(name)
         else:
             self._ready.discard(name)
@@ -135,10 +134,10 @@
     def _listed_endpoint(self, entry: EndpointEntry, number: int, now: int) -> ListedEndpoint:
         started_at = entry.started_us  # of this process's clock already, where operators put it back
         if started_at != self.restored_at(entry.name):
-            started_at = self._start_times.local(entry.name, entry.started_us, now)
+            started_at = self._start_times.local_start(entry.name, entry.started_us, now)
         return ListedEndpoint(
             id=number,
-            state=STATES[entry.status],
+            state=entry.state,
             zone=self._index.zones.get(entry.zone, 0),
             cell=entry.group,
             kind=self._index.kinds.get(entry.kind, 0),
--- a/quota_ingress/net/engine/requests.py
+++ b/quota_ingress/net/engine/requests.py
@@ -70,7 +70,7 @@
     @property
     def body_forwarded(self) -> bool:
         """Some of the body has gone to an endpoint and is not held any more."""
-        return self.parsed.body.gone > 0
+        return self.parsed.body.discarded > 0
 
 
 class RequestTable:
--- a/quota_ingress/net/lifecycle/graceful_shutdown.py
+++ b/quota_ingress/net/lifecycle/graceful_shutdown.py
@@ -25,16 +25,16 @@
     loop = asyncio.get_running_loop()
     longest_deadline = max(each.deadline for each in engine.settings.classes) / 1e6
     end = loop.time() + min(MAX_DEADLINE_SECONDS, longest_deadline) + DEADLINE_MARGIN_SECONDS
-    listener.begin_stop()
-    if not listener.handed:
+    listener.begin_shutdown()
+    if not listener.handed_over:
         await asyncio.sleep(ACCEPT_SECONDS)
-        await listener.take_line(end)
+        await listener.accept_backlog(end)
     listener.stop_listening()
     while (engine.in_flight or listener.connections) and loop.time() < end:
         await asyncio.sleep(IDLE_CHECK_SECONDS)
     engine.fail_all()
     while listener.connections and loop.time() < end + LAST_ANSWERS_SECONDS:
-        listener.last_call()
+        listener.close_remaining()
         await asyncio.sleep(IDLE_CHECK_SECONDS)
 
 
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -10,7 +10,7 @@
 from quota_ingress.config import Config
 from quota_ingress.net.admin import AdminServer
 from quota_ingress.net.clock import Clock
-from quota_ingress.net.descriptors import CALLERS, DescriptorBudget
+from quota_ingress.net.descriptors import ADMIN_DESCRIPTORS, DescriptorBudget
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
@@ -37,7 +37,7 @@
 
     def __init__(self, config: Config) -> None:
         """Builds the parts; nothing is connected or listened on before `start`."""
-        operator_descriptors = CALLERS if config.admin else 0
+        operator_descriptors = ADMIN_DESCRIPTORS if config.admin else 0
         self._config = replace(config, known_endpoints=None)
         self._known_endpoints = config.known_endpoints  # until taken in: a long list is not held twice
         self.stopping = asyncio.Event()  # set by a signal, or once nothing is left after an upgrade
@@ -97,9 +97,9 @@
             self._upgrade.stop()
         open_counts = {
             "requests": lambda: self.engine.unfinished,
-            "client connections": lambda: self.descriptors.clients.open,
-            "backend connections": lambda: self.descriptors.backends.open,
-            "bytes": lambda: self.memory.held,
+            "client connections": lambda: self.descriptors.clients.in_use,
+            "backend connections": lambda: self.descriptors.backends.in_use,
+            "bytes": lambda: self.memory.used,
         }
         await check_nothing_left(open_counts, self.event_log)
         self.event_log.event("process", "ended")
@@ -109,7 +109,7 @@
 
     def ready(self) -> bool:
         """Returns whether a request that comes now would be served."""
-        return self.listener.listening and not self.listener.stopping and self.engine.can_send
+        return self.listener.is_accepting and not self.listener.stopping and self.engine.can_send
 
     def take_offline(self, name: str) -> bool:
         """Bans an endpoint; returns False if it was never listed."""
@@ -127,7 +127,7 @@
 
     def drain(self, is_draining: bool) -> None:
         """Takes the ingress out of service, or back in."""
-        self.listener.drain(is_draining)
+        self.listener.set_out_of_service(is_draining)
         self._notify_other_process(DrainCall(is_draining))
 
     def _notify_other_process(self, note: OperatorNote) -> None:
@@ -175,7 +175,7 @@
         if held is None:
             return None
         self.overrides.apply_list(held, ListKind.CACHED)
-        return held.index
+        return held.version
 
     async def _take_over(self) -> None:
         """Takes the place of the process that serves, once this one could serve."""
--- a/quota_ingress/net/lifecycle/reload.py
+++ b/quota_ingress/net/lifecycle/reload.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 
 from quota_ingress.config import Config, ConfigError, ConfigUnreadableError, reload_config
-from quota_ingress.net.counter.client import Counter
+from quota_ingress.net.counter.client import CounterClient
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.retry import IN_FORCE
-from quota_ingress.net.discovery.watch import Discovery
+from quota_ingress.net.discovery.watch import DiscoveryWatch
+from quota_ingress.net.discovery.watch_retry import NOTIFICATION_DEADLINE
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.lifecycle.upgrade_messages import EndpointListChange
 
 REREAD_INTERVAL_SECONDS = 0.1  # between attempts at a file that cannot be read
 REREAD_WINDOW_SECONDS = 3.0  # in which they are made
-RELOAD_IN_FORCE_SECONDS = 4.0  # after SIGHUP the list of the new discovery has to be in force
+RELOAD_DEADLINE_SECONDS = 4.0  # after SIGHUP the list of the new discovery has to be in force
 COUNTER_SWITCH_SECONDS = 1.0  # after SIGHUP; the old counter closes its connections after 1.5 s
 MAX_FORWARDED_ENTRIES = 10_000  # of a list, to the other process of an upgrade: some 2 MB
 
@@ -75,18 +75,20 @@
         self._engine = engine
         self._overrides = overrides
         self._config = config
-        self._discovery: Discovery | None = None  # None: not started
-        self._next_discovery: Discovery | None = None  # takes the other's place once it has sent its list
-        self._counter: Counter | None = None
+        self._discovery: DiscoveryWatch | None = None  # None: not started
+        self._next_discovery: DiscoveryWatch | None = (
+            None  # takes the other's place once it has sent its list
+        )
+        self._counter: CounterClient | None = None
         self._counter_switch: asyncio.Task[None] | None = None
         self._retiring: set[asyncio.Task[None]] = set()  # of counters that are no longer in force
-        self._list_index: int | None = None  # the last version that discovery sent
+        self._list_version: int | None = None  # the last version that discovery sent
         self._early_changes: list[EndpointListChange] = []  # from the other process, before `start`
 
-    def start(self, list_index: int | None) -> None:
-        """Connects to both; `list_index`: the version of the endpoint list that is held, if one is."""
-        self._list_index = list_index
-        self._discovery = self._new_discovery(self._config, list_index, IN_FORCE)
+    def start(self, list_version: int | None) -> None:
+        """Connects to both; `list_version`: the version of the endpoint list that is held, if one is."""
+        self._list_version = list_version
+        self._discovery = self._new_discovery(self._config, list_version, NOTIFICATION_DEADLINE)
         self._counter = self._start_counter(self._config)
         self._engine.counter = self._counter
         self._discovery.start()
@@ -98,7 +100,7 @@
     async def wait_for_list(self, timeout_seconds: float) -> None:
         """Returns once discovery has sent a list or a change, or after the timeout."""
         if self._discovery:
-            await _wait_for(self._discovery.heard, timeout_seconds)
+            await _wait_for(self._discovery.first_list_received, timeout_seconds)
 
     async def wait_for_counter(self, timeout_seconds: float) -> None:
         """Returns once the counter is connected, or after the timeout."""
@@ -111,7 +113,7 @@
         if newest is None or config.discovery != newest.address:
             if self._next_discovery:
                 self._next_discovery.stop()
-            self._next_discovery = self._new_discovery(config, None, RELOAD_IN_FORCE_SECONDS)
+            self._next_discovery = self._new_discovery(config, None, RELOAD_DEADLINE_SECONDS)
             self._next_discovery.start()
         if config.counter != self._config.counter:
             if self._counter_switch:
@@ -124,7 +126,7 @@
         if self._discovery is None:
             self._early_changes.append(change)
         elif change.discovery == self._discovery.address:
-            self._discovery.told_elsewhere(change.endpoints, change.after)
+            self._discovery.receive_from_peer(change.endpoints, change.after)
 
     def stop(self) -> None:
         """Ends all connections at once."""
@@ -135,26 +137,28 @@
             if client:
                 client.stop()
 
-    def _new_discovery(self, config: Config, list_index: int | None, in_force_seconds: float) -> Discovery:
-        discovery = Discovery(
+    def _new_discovery(
+        self, config: Config, list_version: int | None, deadline_seconds: float
+    ) -> DiscoveryWatch:
+        discovery = DiscoveryWatch(
             config.discovery,
-            list_index,
+            list_version,
             lambda endpoints: self._on_list(discovery, endpoints),
             config.settings.fleet_size,
-            in_force_seconds,
+            deadline_seconds,
             self._engine.directory,
             self._engine.event_log,
         )
         return discovery
 
-    def _start_counter(self, config: Config) -> Counter | None:
+    def _start_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
             return None
-        counter = Counter(config.counter, config.settings.counter.timeout, config.settings.fleet_size)
+        counter = CounterClient(config.counter, config.settings.counter.timeout, config.settings.fleet_size)
         counter.start()
         return counter
 
-    def _on_list(self, discovery: Discovery, endpoints: EndpointList) -> None:
+    def _on_list(self, discovery: DiscoveryWatch, endpoints: EndpointList) -> None:
         if discovery is self._next_discovery:
             if self._discovery:
                 self._discovery.stop()
@@ -162,11 +166,11 @@
             self._next_discovery = None
         if discovery is not self._discovery:
             return  # it has been replaced, and read one more line before it was closed
-        previous_index = self._list_index
-        self._list_index = endpoints.index
+        previous_version = self._list_version
+        self._list_version = endpoints.version
         if self.on_list_change and len(endpoints.packed) <= MAX_FORWARDED_ENTRIES:
             # Before the overrides are laid over it: the other process has its own.
-            self.on_list_change(EndpointListChange(discovery.address, previous_index, endpoints))
+            self.on_list_change(EndpointListChange(discovery.address, previous_version, endpoints))
         self._overrides.apply_list(endpoints)
 
     async def _switch_counter(self, config: Config) -> None:
@@ -183,7 +187,7 @@
         self._counter = new
         self._engine.counter = new
         if old:
-            task = asyncio.get_running_loop().create_task(old.retire())
+            task = asyncio.get_running_loop().create_task(old.drain())
             self._retiring.add(task)
             task.add_done_callback(self._retiring.discard)
 
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -17,6 +17,7 @@
 from typing import Protocol
 
 from quota_ingress.net.acceptor import Acceptor
+from quota_ingress.net.discovery.packed_entry import PackedEntry
 from quota_ingress.net.lifecycle.upgrade_channel import ANSWER_TIMEOUT_SECONDS, UpgradeChannel
 from quota_ingress.net.lifecycle.upgrade_messages import (
     Document,
@@ -42,10 +43,10 @@
     def serving_state(self) -> ServingState:
         """Returns what this process holds, but for the entries of the endpoint list."""
 
-    def list_parts(self) -> Iterable[Mapping[str, str]]:
+    def list_parts(self) -> Iterable[Mapping[str, PackedEntry]]:
         """Returns the endpoint list, packed, by name, some entries at a time."""
 
-    def restore_list_part(self, entries: Mapping[str, str]) -> None:
+    def restore_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
         """Takes such a part of the other process's list."""
 
     def restore_state(self, state: ServingState) -> None:
@@ -156,7 +157,7 @@
             case Question.TAKE:
                 raise MessageError("another process has taken over already")
 
-    def on_list_part(self, entries: Mapping[str, str]) -> None:
+    def on_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
         """See ChannelHandler."""
         self._participant.restore_list_part(entries)
 
--- a/quota_ingress/net/lifecycle/upgrade_channel.py
+++ b/quota_ingress/net/lifecycle/upgrade_channel.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol, cast
 
+from quota_ingress.net.discovery.packed_entry import PackedEntry
 from quota_ingress.net.lifecycle.upgrade_messages import (
     Answer,
     Ask,
@@ -39,7 +40,7 @@
     def on_question(self, channel: UpgradeChannel, question: Question) -> Document:
         """Returns the answer's content. MessageError: the channel is closed in its place."""
 
-    def on_list_part(self, entries: Mapping[str, str]) -> None:
+    def on_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
         """Some entries of the other process's endpoint list, packed, by name."""
 
     def on_operator_note(self, note: OperatorNote) -> None:
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -14,8 +14,10 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry, EndpointList
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
+from quota_ingress.net.discovery.packed_entry import PackedEntry, pack_entry, unpack_entry
 
 VERSION = 1  # messages of another version are not understood: a start goes on without them
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, IndexError, OverflowError)
@@ -53,7 +55,7 @@
 class ListPart(NamedTuple):
     """Some entries of the endpoint list, sent before the answer to `Question.HELLO`."""
 
-    entries: Mapping[str, str]  # packed, by name
+    entries: Mapping[str, PackedEntry]  # by name
 
 
 class EndpointCall(NamedTuple):
@@ -132,7 +134,7 @@
     """Returns the content of the answer to `Question.HELLO`."""
     overrides = state.overrides
     return {
-        "listed": {"index": overrides.list_index, "count": overrides.endpoint_count},
+        "listed": {"index": overrides.list_version, "count": overrides.endpoint_count},
         "out": list(overrides.offline),
         "back": dict(overrides.restarted_at),
         "gone": list(overrides.removed_names),
@@ -148,7 +150,7 @@
         MessageError: A part of it is missing or is of the wrong type.
     """
     try:
-        endpoints = EndpointList(content["listing"]) if "listing" in content else None
+        endpoints = decode_endpoint_list(content["listing"]) if "listing" in content else None
         return ServingState(
             overrides=_decode_overrides(content, endpoints),
             is_draining=bool(content["drained"]),
@@ -177,9 +179,9 @@
             return None
 
 
-def _decode_entries(entries: Mapping[str, str]) -> dict[str, str]:
+def _decode_entries(entries: Mapping[str, str]) -> dict[str, PackedEntry]:
     """Returns the entries as this version packs them; one that cannot be unpacked raises."""
-    return {name: EndpointEntry.unpacked(name, packed).packed() for name, packed in entries.items()}
+    return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
 def _decode_note(note: Document) -> OperatorNote:
@@ -191,7 +193,7 @@
 def _encode_change(change: EndpointListChange) -> Document:
     return {
         "discovery": list(change.discovery),
-        "index": change.endpoints.index,
+        "index": change.endpoints.version,
         "after": change.after,
         "whole": change.endpoints.is_snapshot,
         "packed": change.endpoints.packed,
@@ -202,8 +204,8 @@
     try:
         host, port = change["discovery"]
         after = change["after"]
-        endpoints = EndpointList({"index": change["index"], "snapshot": change["whole"], "endpoints": []})
-        endpoints.packed = _decode_entries(change["packed"])
+        packed = _decode_entries(change["packed"])
+        endpoints = EndpointList(int(change["index"]), bool(change["whole"]), packed)
         return EndpointListChange((host, port), None if after is None else int(after), endpoints)
     except DECODE_ERRORS as error:
         raise EndpointListChangeError(repr(error)) from error
@@ -211,13 +213,13 @@
 
 def _decode_overrides(content: Document, endpoints: EndpointList | None) -> OverridesSnapshot:
     if endpoints is not None:
-        list_index = endpoints.index
+        list_version = endpoints.version
         endpoint_count = len(endpoints.packed)
     else:
-        list_index = int(content["listed"]["index"])
+        list_version = int(content["listed"]["index"])
         endpoint_count = int(content["listed"]["count"])
     return OverridesSnapshot(
-        list_index=list_index,
+        list_version=list_version,
         endpoint_count=endpoint_count,
         offline=tuple(str(name) for name in content["out"]),
         restarted_at={str(name): int(moment) for name, moment in content["back"].items()},
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -11,6 +11,7 @@
 from quota_ingress.net.descriptors import DescriptorBudget
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
+from quota_ingress.net.discovery.packed_entry import PackedEntry
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.lifecycle.reload import ControlPlaneClients
@@ -70,15 +71,15 @@
         """See UpgradeParticipant."""
         return ServingState(
             overrides=self._parts.overrides.snapshot(),
-            is_draining=self._parts.listener.draining,
+            is_draining=self._parts.listener.out_of_service,
             clock_base_us=self._parts.clock.base,
         )
 
-    def list_parts(self) -> Iterable[Mapping[str, str]]:
+    def list_parts(self) -> Iterable[Mapping[str, PackedEntry]]:
         """See UpgradeParticipant."""
         return self._parts.overrides.entry_batches()
 
-    def restore_list_part(self, entries: Mapping[str, str]) -> None:
+    def restore_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
         """See UpgradeParticipant."""
         self._parts.overrides.restore_entries(entries)
 
@@ -91,7 +92,7 @@
         if state.clock_base_us is not None:
             self._parts.clock.adopt(state.clock_base_us)
         self._restored_list = self._parts.overrides.restore(state.overrides, state.endpoints)
-        self._parts.listener.drain(state.is_draining)
+        self._parts.listener.set_out_of_service(state.is_draining)
 
     def hand_over(self) -> Document:
         """See UpgradeParticipant."""
@@ -106,7 +107,7 @@
         """See UpgradeParticipant."""
         match note:
             case DrainCall(is_draining):
-                self._parts.listener.drain(is_draining)
+                self._parts.listener.set_out_of_service(is_draining)
             case EndpointCall(name, is_offline):
                 self._parts.overrides.apply_operator_call(name, is_offline)
 
@@ -116,8 +117,8 @@
 
     def share_descriptors(self, with_other: bool) -> None:
         """See UpgradeParticipant."""
-        self._parts.descriptors.halve(with_other)
-        self._parts.listener.top = self._parts.descriptors.top
+        self._parts.descriptors.set_shared(with_other)
+        self._parts.listener.hard_limit = self._parts.descriptors.client_hard_limit
 
     def on_successor_lost(self) -> None:
         """Serves again, unless this process is at its end, too."""
@@ -127,7 +128,7 @@
         self._parts.engine.event_log.event("process", "serving again")
         if self._leaving:
             self._leaving.cancel()
-        self._parts.listener.take_back()
+        self._parts.listener.resume_serving()
 
     async def _leave(self) -> None:
         """Stays for a while even with nothing to finish, so that there is a process to serve again."""
--- a/tests/support/fake_network.py
+++ b/tests/support/fake_network.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.engine.requests import ParsedRequest
@@ -108,7 +108,7 @@
 
     def ask(self, request_id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
         body = Body(MemoryBudget())
-        body.whole = True
+        body.complete = True
         parsed = ParsedRequest(
             request_id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body
         )
--- a/tests/support/upgrade.py
+++ b/tests/support/upgrade.py
@@ -8,14 +8,15 @@
 
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
+from quota_ingress.net.discovery.packed_entry import PackedEntry, pack_entry
 from quota_ingress.net.lifecycle.upgrade_messages import EndpointListChange, OperatorNote, ServingState
 from tests.net_helpers import HOST, entry
 
-PACKED_ENTRIES = {name: entry(name, 1).packed() for name in ("a", "b")}
+PACKED_ENTRIES = {name: pack_entry(entry(name, 1)) for name in ("a", "b")}
 
 STATE = ServingState(
     overrides=OverridesSnapshot(
-        list_index=1, endpoint_count=2, offline=(), restarted_at={}, removed_names=()
+        list_version=1, endpoint_count=2, offline=(), restarted_at={}, removed_names=()
     ),
     is_draining=True,
     clock_base_us=5,
@@ -25,7 +26,7 @@
 
 
 def list_change(index: int) -> EndpointListChange:
-    return EndpointListChange(DISCOVERY, index - 1, EndpointList.of(index, False, [entry("a", 1)]))
+    return EndpointListChange(DISCOVERY, index - 1, EndpointList.from_entries(index, False, [entry("a", 1)]))
 
 
 class RecordingParticipant:
@@ -34,7 +35,7 @@
     def __init__(self) -> None:
         self.notes: list[OperatorNote] = []
         self.states: list[ServingState] = []
-        self.list_parts_restored: list[Mapping[str, str]] = []
+        self.list_parts_restored: list[Mapping[str, PackedEntry]] = []
         self.changes: list[EndpointListChange] = []
         self.descriptor_sharing: list[bool] = []
         self.handovers = 0
@@ -44,10 +45,10 @@
     def serving_state(self) -> ServingState:
         return STATE
 
-    def list_parts(self) -> list[Mapping[str, str]]:
+    def list_parts(self) -> list[Mapping[str, PackedEntry]]:
         return [{name: packed} for name, packed in PACKED_ENTRIES.items()]
 
-    def restore_list_part(self, entries: Mapping[str, str]) -> None:
+    def restore_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
         self.list_parts_restored.append(entries)
 
     def restore_state(self, state: ServingState) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -107,7 +107,7 @@
     assert (started.listen, started.discovery) == (("10.0.0.4", 7070), ("10.2.0.1", 8500))
     assert started.admin == ("10.0.0.4", 7071) and started.counter is None
     assert (started.inherited_listener, started.shared_directory) == (3, "/shared")
-    assert started.known_endpoints and started.known_endpoints.index == 1
+    assert started.known_endpoints and started.known_endpoints.version == 1
     reloaded = reload_config(str(path))
     assert (reloaded.listen, reloaded.discovery, reloaded.admin) == ((HOST, 0), (HOST, 1), (HOST, 2))
     assert (reloaded.inherited_listener, reloaded.shared_directory) == (None, "")
@@ -134,4 +134,7 @@
     loaded = load_config(str(path), {})
     assert (loaded.max_descriptors, loaded.memory_mb, loaded.idle_timeout_us) == (1024, 64, 15_000_000)
     assert loaded.admin is None and loaded.seed == 0x8C1F
-    assert loaded.known_endpoints and (loaded.known_endpoints.index, loaded.known_endpoints.packed) == (0, {})
+    assert loaded.known_endpoints and (loaded.known_endpoints.version, loaded.known_endpoints.packed) == (
+        0,
+        {},
+    )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -157,7 +157,7 @@
 
 def test_two_processes_hold_no_more_descriptors_than_one() -> None:
     alone, one = DescriptorBudget(384, 12), DescriptorBudget(384, 12)
-    one.halve(True)
-    assert 2 * (one.clients.most + one.backends.most) < alone.clients.most + alone.backends.most
-    one.halve(False)
-    assert (one.clients.most, one.backends.most) == (alone.clients.most, alone.backends.most)
+    one.set_shared(True)
+    assert 2 * (one.clients.limit + one.backends.limit) < alone.clients.limit + alone.backends.limit
+    one.set_shared(False)
+    assert (one.clients.limit, one.backends.limit) == (alone.clients.limit, alone.backends.limit)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -74,7 +74,7 @@
     """They are connected, and have sent: closing the listener reset them."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.0)
     backend.heard = answers(OK)
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
     for _ in range(3):  # connecting and sending take a turn of the loop each
         await asyncio.sleep(0)
@@ -94,7 +94,7 @@
         await asyncio.sleep(0)
     open_one = asyncio.create_task(ingress.ask(request("r0")))
     await backend.until(lambda: asked(backend) == [b"r0"])
-    ingress.listener.begin_stop()
+    ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     ingress.engine.fail_all()
     assert (await open_one).startswith(b"HTTP/1.1 504 ")
@@ -111,10 +111,13 @@
     silent, silent_writer = await asyncio.open_connection(HOST, ingress.port)
     half, half_writer = await asyncio.open_connection(HOST, ingress.port)
     half_writer.write(request("r0")[:20])
-    while sum(c._begun for c in ingress.listener.connections) < 1 or len(ingress.listener.connections) < 2:
+    while (
+        sum(c.reader.in_message for c in ingress.listener.connections) < 1
+        or len(ingress.listener.connections) < 2
+    ):
         await asyncio.sleep(0)
-    ingress.listener.begin_stop()
-    ingress.listener.last_call()
+    ingress.listener.begin_shutdown()
+    ingress.listener.close_remaining()
     async with asyncio.timeout(connection_module.HALF_SENT - 0.5):  # no sweep has ended them first
         assert await silent.read() == b""
         assert (await half.read()).startswith(b"HTTP/1.1 408 ")
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -8,9 +8,11 @@
 import pytest
 import pytest_asyncio
 
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.downstream import connection as connection_module
-from quota_ingress.net.upstream.client import Exchange, Pool, UpstreamClient
+from quota_ingress.net.upstream.exchange import Exchange
+from quota_ingress.net.upstream.pool import ConnectionPool
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 from quota_ingress.policy.gateway import Gateway
 from tests.net_helpers import (
@@ -84,12 +86,12 @@
     backend.heard = answers(OK)
     await ingress.ask(request("k0"))
     backend.heard = lambda peer: None
-    ingress.listener.pause()
+    ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await left(writer)
     stays = asyncio.create_task(ingress.ask(request("r1")))
-    ingress.listener.resume()
+    ingress.listener.resume_accepting()
     await backend.until(lambda: b"r1" in asked(backend))
     for peer in backend.peers:
         peer.transport.write(OK)
@@ -101,16 +103,16 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where attempts may not be cancelled: this one has not begun. And the backend is not to blame."""
-    up, connect, dialling = asyncio.Event(), UpstreamClient._connect, asyncio.Event()
+    up, connect, dialling = asyncio.Event(), ConnectionPool._connect, asyncio.Event()
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(pool: ConnectionPool, exchange: Exchange) -> None:
         dialling.set()
         try:
             await up.wait()
         finally:
-            await connect(self, pool, exchange)
+            await connect(pool, exchange)
 
-    monkeypatch.setattr(UpstreamClient, "_connect", late)
+    monkeypatch.setattr(ConnectionPool, "_connect", late)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await dialling.wait()
@@ -172,7 +174,7 @@
         {"name": f"s-{n}", "address": f"{HOST}:{server.port}", "status": state, "zone": "hall", "type": "big"}
         for n, (server, state) in enumerate(zip(servers, status, strict=True))
     ]
-    return EndpointList({"index": 1, "snapshot": True, "endpoints": entries})
+    return decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
 
 
 @pytest.mark.parametrize("cls", ["read", "order"])
@@ -182,17 +184,17 @@
     """Its connection comes up right after the list; it never ran, so an unsafe one may go on, too."""
     ingress, servers = two
     chosen: list[str] = []
-    up, dialling, connect = asyncio.Event(), asyncio.Event(), UpstreamClient._connect
+    up, dialling, connect = asyncio.Event(), asyncio.Event(), ConnectionPool._connect
 
-    async def late(self: UpstreamClient, pool: Pool, exchange: Exchange) -> None:
+    async def late(pool: ConnectionPool, exchange: Exchange) -> None:
         chosen.append(pool.name)
         dialling.set()
         try:
             await up.wait()
         finally:
-            await connect(self, pool, exchange)
+            await connect(pool, exchange)
 
-    monkeypatch.setattr(UpstreamClient, "_connect", late)
+    monkeypatch.setattr(ConnectionPool, "_connect", late)
     answer = asyncio.create_task(ingress.ask(request("r0", cls)))
     await dialling.wait()
     leaving = int(chosen[0][-1])
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import IncompleteListError
 from quota_ingress.net.lifecycle.upgrade_messages import (
@@ -35,11 +36,11 @@
 
     def list(self, *entries: dict[str, object], whole: bool = True) -> None:
         named = [{"address": f"{HOST}:1", "status": "up"} | e for e in entries]
-        self.maintenance.apply_list(EndpointList({"index": 4, "snapshot": whole, "endpoints": named}))
+        self.maintenance.apply_list(decode_endpoint_list({"index": 4, "snapshot": whole, "endpoints": named}))
 
     @property
     def last(self) -> dict[str, tuple[str, int]]:
-        return {e.name: (e.status, e.started_us) for e in self.heard[-1].entries}
+        return {e.name: (STATUS_BY_STATE[e.state], e.started_us) for e in self.heard[-1].entries}
 
 
 def test_a_backend_taken_out_is_told_as_draining_whatever_discovery_says() -> None:
@@ -88,17 +89,13 @@
     boxes: dict[str, int] = {"a": 1, "b": 2}
 
     def tell(listing: EndpointList) -> None:
-        states = {"up": EndpointState.READY, "draining": EndpointState.DRAINING}
-        told = [
-            ListedEndpoint(boxes[e.name], states[e.status], 0, 0, 0, 1.0, e.started_us)
-            for e in listing.entries
-        ]
+        told = [ListedEndpoint(boxes[e.name], e.state, 0, 0, 0, 1.0, e.started_us) for e in listing.entries]
         way = ListKind.FULL if listing.is_snapshot else ListKind.DELTA
-        gateway.handle(time[0], EndpointsListed(way, listing.index, tuple(told)))
+        gateway.handle(time[0], EndpointsListed(way, listing.version, tuple(told)))
 
     maintenance = overrides_of_own_directory(lambda: time[0], tell)
     up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in boxes]
-    maintenance.apply_list(EndpointList({"index": 1, "snapshot": True, "endpoints": up}))
+    maintenance.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": up}))
     number = 0
 
     def sends() -> set[int]:
@@ -131,7 +128,7 @@
     heard: list[Any] = []
     old = overrides_of_own_directory(lambda: 7_000_000, heard.append)
     made = overrides_of_own_directory(lambda: 9_000_000, heard.append)
-    listing = EndpointList.of(0, True, (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3)))
+    listing = EndpointList.from_entries(0, True, (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3)))
     old.apply_list(listing)
     old.take_offline("a")
     old.take_offline("b")
@@ -140,10 +137,10 @@
         made.restore_entries(json.loads(json.dumps(part)))
     state = through_the_codec(ServingState(old.snapshot(), is_draining=False, clock_base_us=1))
     made.apply_list(made.restore(state.overrides))
-    told = {e.name: (e.status, e.started_us, e.address) for e in heard[-1].entries}
+    told = {e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in heard[-1].entries}
     assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
     assert told["b"] == ("up", 7_000_000, (HOST, 2))
     made.apply_operator_call("a", is_offline=False)
-    assert heard[-1].entries[0].status == "up" and not made.offline
+    assert heard[-1].entries[0].state is EndpointState.READY and not made.offline
     with pytest.raises(IncompleteListError):
         made.restore(old.snapshot())  # the list itself did not come
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
 from quota_ingress.net.lifecycle.upgrade import SOCKET_NAME, UpgradeCoordinator
 from quota_ingress.net.lifecycle.upgrade_messages import (
@@ -40,9 +40,9 @@
     serving.send_operator_note(DrainCall(is_draining=True))
     await new.until(lambda: new.notes == [DrainCall(is_draining=True)])
     coming.send_list_change(list_change(7))  # what discovery tells either of them
-    await old.until(lambda: [c.endpoints.index for c in old.changes] == [7])
+    await old.until(lambda: [c.endpoints.version for c in old.changes] == [7])
     serving.send_list_change(list_change(8))
-    await new.until(lambda: [c.endpoints.index for c in new.changes] == [8])
+    await new.until(lambda: [c.endpoints.version for c in new.changes] == [8])
     assert encode(new.changes[0]) == encode(list_change(8))
     assert encode(old.changes[0]) == encode(list_change(7))
     coming.offer()  # for the next one, under the same name
@@ -118,7 +118,7 @@
     coming = coordinator(tmp_path, new)
     assert await coming.find()
     (read,) = restored
-    assert read.endpoints and read.endpoints.packed == EndpointList(listing).packed
+    assert read.endpoints and read.endpoints.packed == decode_endpoint_list(listing).packed
     assert read.overrides == OverridesSnapshot(1, 1, (), {}, ()) and not read.is_draining
     assert made.offline == {"a"}
     coming.stop()
--- a/tests/test_upgrade_messages.py
+++ b/tests/test_upgrade_messages.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE
 from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
+from quota_ingress.net.discovery.packed_entry import unpack_entry
 from quota_ingress.net.engine import snapshot_codec
 from quota_ingress.net.lifecycle.upgrade_messages import (
     Answer,
@@ -61,14 +62,14 @@
     assert isinstance(part, ListPart) and isinstance(answer, Answer)
     state = decode_state(answer.content)
     assert state.overrides.offline == ("s é", "s-0") and state.overrides.removed_names == ("s-3",)
-    assert list(state.overrides.restarted_at) == ["s-1"] and state.overrides.list_index == 5
+    assert list(state.overrides.restarted_at) == ["s-1"] and state.overrides.list_version == 5
     assert not state.is_draining and state.clock_base_us == answer.content["clock"]
     assert json.dumps(encode_state(state)) == json.dumps(answer.content)  # the order of keys, too
 
     overrides = overrides_of_own_directory(lambda: 0)
     overrides.restore_entries(part.entries)
     overrides.apply_list(overrides.restore(state.overrides))
-    assert {name: entry.status for name, entry in overrides.entries.items()} == {
+    assert {name: STATUS_BY_STATE[entry.state] for name, entry in overrides.entries.items()} == {
         "s-0": "draining",
         "s-1": "up",
         "s-2": "up",
@@ -93,12 +94,12 @@
 def test_the_list_changes_of_the_version_before() -> None:
     delta, whole = messages("listed.jsonl")
     assert isinstance(delta, EndpointListChange) and isinstance(whole, EndpointListChange)
-    assert (delta.after, delta.endpoints.index, delta.endpoints.is_snapshot) == (5, 6, False)
-    assert {entry.name: entry.status for entry in delta.endpoints.entries} == {
+    assert (delta.after, delta.endpoints.version, delta.endpoints.is_snapshot) == (5, 6, False)
+    assert {entry.name: STATUS_BY_STATE[entry.state] for entry in delta.endpoints.entries} == {
         "s-2": "draining",
         "s-0": "removed",
     }
-    assert (whole.after, whole.endpoints.index, whole.endpoints.is_snapshot) == (6, 7, True)
+    assert (whole.after, whole.endpoints.version, whole.endpoints.is_snapshot) == (6, 7, True)
     assert list(whole.endpoints.packed) == ["s-0", "s-1"]
     assert delta.discovery[0] == HOST and delta.discovery == whole.discovery
 
@@ -163,7 +164,7 @@
     state = decode_state({"listing": listing, "out": ["a"], "back": {}, "gone": [], "drained": True})
     assert state.endpoints and [entry.name for entry in state.endpoints.entries] == ["a"]
     assert state._replace(endpoints=None) == ServingState(OverridesSnapshot(3, 1, ("a",), {}, ()), True, None)
-    assert EndpointEntry.unpacked("a", state.endpoints.packed["a"]).address == ("", 1)
+    assert unpack_entry("a", state.endpoints.packed["a"]).address == ("", 1)
 
 
 @pytest.mark.parametrize("missing", ["listed", "out", "back", "gone", "drained"])
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -17,7 +17,8 @@
 from ingress_testbed.faults import Call, Faults, build
 from ingress_testbed.soak.nodes import free_port
 from quota_ingress.config import load_config
-from quota_ingress.net.discovery.endpoint_list import EndpointEntry
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint
+from quota_ingress.net.discovery.packed_entry import pack_entry
 from quota_ingress.net.lifecycle.ingress import Ingress
 from quota_ingress.net.lifecycle.upgrade import SOCKET_NAME, UpgradeCoordinator
 from quota_ingress.policy.events import RequestArrived
@@ -162,7 +163,7 @@
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while await reader.readline():
             await asyncio.sleep(slow)
-            lines = {"part": {"a": EndpointEntry(listed).packed()}}, {"answer": state}
+            lines = {"part": {"a": pack_entry(decode_endpoint(listed))}}, {"answer": state}
             writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
     server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
@@ -275,18 +276,18 @@
     path.write_text(json.dumps(config(counter=None)))
     env = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
     old, new = Ingress(load_config(str(path), env)), Ingress(load_config(str(path), env))
-    top = old.listener.top
+    top = old.listener.hard_limit
     await old.start()
     old.engine.post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
-    assert old.listener.top < top and new.listener.top < top
+    assert old.listener.hard_limit < top and new.listener.hard_limit < top
     assert 7 in new.engine._policy.admission.customers  # type: ignore[attr-defined]
-    assert not old.ready() and old.listener.handed and not new.listener.handed
+    assert not old.ready() and old.listener.handed_over and not new.listener.handed_over
     async with asyncio.timeout(10):
         await old.stopping.wait()  # it has nothing left
     await old.stop()
     async with asyncio.timeout(10):
-        while new.listener.top < top:
+        while new.listener.hard_limit < top:
             await asyncio.sleep(0)
     await new.stop()
     listening.close()
