--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -44,7 +44,7 @@
     if reload_requested.is_set():
         ingress.reload(path)
     await ingress.stopping.wait()
-    loop.add_signal_handler(signal.SIGHUP, log.info, "at the end: the configuration is not read anew")
+    loop.add_signal_handler(signal.SIGHUP, log.info, "shutting down: the configuration is not reloaded")
     await ingress.stop()
 
 
--- a/quota_ingress/net/lifecycle/reload.py
+++ b/quota_ingress/net/lifecycle/reload.py
@@ -55,10 +55,10 @@
             if loop.time() < deadline:
                 self._retry = loop.call_later(REREAD_INTERVAL_SECONDS, self._attempt, path, deadline)
             else:
-                log.warning("configuration not read anew, the old one stays: %s", error)
+                log.warning("configuration not reloaded, the old one stays in force: %s", error)
         except ConfigError as error:
             self._event_log.event("reload", "not read")
-            log.warning("configuration not read anew, the old one stays: %s", error)
+            log.warning("configuration not reloaded, the old one stays in force: %s", error)
         else:
             self._event_log.event("reload", "read", discovery=config.discovery, counter=config.counter)
             self._apply(config)
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -97,7 +97,7 @@
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 _, channel = await loop.create_unix_connection(lambda: UpgradeChannel(self), str(self._path))
         except (OSError, ValueError) as error:  # missing or stale, or a path too long for a socket
-            log.info("handover: no process to take over from: %s", error)
+            log.info("upgrade: no process to take over from: %s", error)
             return False
         self._channel = channel
         self._participant.share_descriptors(with_other=True)
@@ -115,7 +115,7 @@
         try:
             self._acceptor = self._listen()
         except OSError as error:
-            log.warning("handover: no upgrade can be offered: %s", error)
+            log.warning("upgrade: no upgrade can be offered: %s", error)
             loop = asyncio.get_running_loop()
             self._offer_retry = loop.call_later(OFFER_RETRY_SECONDS, self.offer)
             return
@@ -192,7 +192,7 @@
         try:
             self._participant.restore_state(decode_state(content))
         except ValueError as error:
-            log.warning("handover: what the other process tells cannot be read: %r", error)
+            log.warning("upgrade: the other process's state cannot be read: %r", error)
 
     async def _ask(
         self, question: Question, on_answer: Callable[[Document], None] | None = None
@@ -202,7 +202,7 @@
         try:
             return await self._channel.ask(question, on_answer)
         except (OSError, TimeoutError) as error:
-            log.warning("handover: %s: %s", question.value, error or "no answer")
+            log.warning("upgrade: %s: %s", question.value, error or "no answer")
             return None
 
     def _listen(self) -> Acceptor:
--- a/quota_ingress/net/lifecycle/upgrade_channel.py
+++ b/quota_ingress/net/lifecycle/upgrade_channel.py
@@ -83,8 +83,8 @@
             for line in lines:
                 self._receive_line(line)
         except MessageError as error:
-            log.warning("handover: not understood: %s", error)
-            self._fail_question("not understood")
+            log.warning("upgrade: the other process's message cannot be read: %s", error)
+            self._fail_question("a message cannot be read")
             self.abort()
 
     def send(self, message: Message) -> None:
@@ -119,7 +119,7 @@
         try:
             message = decode(line)
         except EndpointListChangeError as error:
-            log.warning("handover: a change of the list cannot be read: %s", error)
+            log.warning("upgrade: the other process's change of the endpoint list cannot be read: %s", error)
             return
         if message is not None:
             self._receive(message)
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -97,7 +97,7 @@
     def hand_over(self) -> Document:
         """See UpgradeParticipant."""
         engine = self._parts.engine
-        log.info("handover: another process accepts from now on")
+        log.info("upgrade: another process accepts from now on")
         engine.event_log.event("process", "handed over", open=engine.in_flight)
         self._parts.listener.hand_over()
         self._leaving = asyncio.get_running_loop().create_task(self._leave())
@@ -124,7 +124,7 @@
         """Serves again, unless this process is at its end, too."""
         if self._stopping.is_set():
             return
-        log.warning("handover: the process that took over is gone, accepting again")
+        log.warning("upgrade: the process that took over is gone, accepting again")
         self._parts.engine.event_log.event("process", "serving again")
         if self._leaving:
             self._leaving.cancel()
@@ -135,5 +135,5 @@
         await asyncio.sleep(STANDBY_SECONDS)
         while self._parts.engine.in_flight or self._parts.listener.connections:
             await asyncio.sleep(IDLE_CHECK_SECONDS)
-        log.info("handover: nothing is left")
+        log.info("upgrade: nothing is left to finish")
         self._stopping.set()
