--- a/ingress_testbed/__main__.py
+++ b/ingress_testbed/__main__.py
@@ -107,15 +107,15 @@
 @click.option("--nodes", type=click.IntRange(1, 60), default=12, show_default=True)
 @click.option("--backends", type=click.IntRange(6, 200), default=24, show_default=True)
 @click.option("--rate", type=click.FloatRange(1, 2000), default=250.0, show_default=True, help="requests a s")
-@click.option("--gap", type=click.FloatRange(0.02), default=0.3, show_default=True, help="s between troubles")
+@click.option("--gap", type=click.FloatRange(0.02), default=0.3, show_default=True, help="s between faults")
 @click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="keeps the records")
 def soak(
     seed: int, runs: int, seconds: float, nodes: int, backends: int, rate: float, gap: float, out: Path | None
 ) -> None:
-    """Plays real ingresses under overlapping troubles; exit code 1 if an invariant is broken."""
+    """Plays real ingresses under overlapping faults; exit code 1 if an invariant is broken."""
     broken = 0
     for number in range(seed, seed + runs):
-        run, problems = asyncio.run(soaks.play(number, seconds, nodes, backends, rate, gap))
+        run, problems = asyncio.run(soaks.play(number, soaks.RunSize(seconds, nodes, backends, rate, gap)))
         found = judge(run)
         broken += bool(found)
         totals = "  ".join(f"{name} {value:g}" for name, value in sorted(figures(run).items()))
--- a/ingress_testbed/soak/backends.py
+++ b/ingress_testbed/soak/backends.py
@@ -1,204 +1,262 @@
-"""The backends of a run in one worker process: many addresses, each with its own way to behave."""
+"""The endpoints of a run in one worker process: many addresses, each with its own behaviour."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import time
-from dataclasses import dataclass
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
 import httptools
 import msgspec
 
+from ingress_testbed.soak.backend_behaviour import (
+    ERROR,
+    GARBAGE,
+    NO_LENGTH_HEAD,
+    PROBE_ANSWER,
+    PROBE_TARGETS,
+    REJECTED,
+    Behaviour,
+    head_for,
+)
 from ingress_testbed.soak.records import Arrival
 from ingress_testbed.soak.setup import WITH_KEY, expected_answer, idempotency_key
 from ingress_testbed.standins.sockets import Connection, Server, reset
 
-WORK = 0.03  # s for an answer, in the mean
-SLOW = 0.4
+MEAN_WORK = 0.03  # s for an answer
+MAX_WORK = 10 * MEAN_WORK
+SLOW_WORK = 0.4  # s more, at the most, of one that is slow
+REJECTION_WORK = 0.001  # s
 PIECE = 20_000  # bytes of a long answer at a time
-LOOK = 0.05  # s between looks how late this process is
+PIECE_GAP = 0.01  # s
+SWEEP_INTERVAL = 0.05  # s
+IDLE_RESET_FRACTION = 0.3  # of idle connections that are ended by a reset
 
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-GARBAGE = b"HTTP/1.1 2x0 \x00\r\nContent-Length: banana\r\n\r\n"
 
+class Backends(Server):
+    """All endpoints of a run.
 
-@dataclass(slots=True)
-class Mode:
-    """How one backend behaves; `part` of its answers come by `kind`, the others as they should."""
-
-    kind: str = "sound"
-    part: float = 1.0
-
+    Attributes:
+        lag: s by which this process was late, at the most.
+    """
 
-class Backends(Server):
     def __init__(self, seed: int, idle: float) -> None:
-        self.rng, self.idle = random.Random(seed), idle
-        self.modes: dict[str, Mode] = {}  # by address
-        self.links: set[Link] = set()
+        """Closes connections that have been idle for `idle` s."""
+        self.rng = random.Random(seed)
+        self.idle = idle
+        self.behaviours: dict[str, Behaviour] = {}  # by address
+        self.connections: set[BackendConnection] = set()
         self.arrivals: list[Arrival] = []
         self.lag = 0.0
-        self._look_at = time.monotonic()
+        self._sweep_due = time.monotonic()
 
     async def start(self) -> None:
-        await self.serve(lambda: Link(self))
-        self.every(LOOK, self._sweep)
+        """Listens at every loopback address."""
+        await self.serve(lambda: BackendConnection(self))
+        self.every(SWEEP_INTERVAL, self._sweep)
+
+    def behaviour(self, address: str) -> Behaviour:
+        """Returns how the endpoint at that address answers."""
+        return self.behaviours.get(address, Behaviour())
 
-    def mode(self, address: str) -> Mode:
-        return self.modes.get(address, Mode())
+    def behave(self, address: str, behaviour: Behaviour) -> None:
+        """Sets how the endpoint at that address answers; one that goes down resets its connections."""
+        self.behaviours[address] = behaviour
+        if behaviour.kind == "down":
+            for connection in [c for c in self.connections if c.address == address]:
+                connection.end(by_reset=True)
 
     def _sweep(self) -> None:
         now = time.monotonic()
-        self.lag, self._look_at = max(self.lag, now - self._look_at), now + LOOK
-        for link in [x for x in self.links if x.rests_since and now - x.rests_since > self.idle]:
-            link.end(by_reset=self.rng.random() < 0.3)
+        self.lag = max(self.lag, now - self._sweep_due)
+        self._sweep_due = now + SWEEP_INTERVAL
+        for connection in [c for c in self.connections if c.has_been_idle_for(self.idle, now)]:
+            connection.end(by_reset=self.rng.random() < IDLE_RESET_FRACTION)
+
 
+class BackendConnection(Connection):
+    """One connection of an ingress to an endpoint."""
 
-class Link(Connection):
     def __init__(self, backends: Backends) -> None:
-        self._of, self._parser = backends, httptools.HttpRequestParser(self)
-        self.rests_since = time.monotonic()
-        self._began_at = 0.0
+        self.address = ""
+        self._backends = backends
+        self._parser = httptools.HttpRequestParser(self)
+        self._idle_since = time.monotonic()
+        self._began_at = 0.0  # when the present request's first byte came
         self._arrival: Arrival | None = None
-        self._url, self._headers, self._body = b"", dict[bytes, bytes](), bytearray()
-        self._again = b""  # a second copy of the last answer
+        self._url = b""
+        self._headers: dict[bytes, bytes] = {}
+        self._body = bytearray()
+        self._writing: asyncio.Task[None] | None = None
+
+    def has_been_idle_for(self, seconds: float, now: float) -> bool:
+        """Returns whether no request has been open for that long."""
+        return bool(self._idle_since) and now - self._idle_since > seconds
+
+    def end(self, by_reset: bool) -> None:
+        """Ends the connection, in order or by a reset."""
+        if by_reset:
+            reset(self.transport)
+        else:
+            self.transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """An endpoint that is down resets at once."""
         super().connection_made(transport)
         self.address = self.transport.get_extra_info("sockname")[0]
-        self._of.links.add(self)
-        if self._of.mode(self.address).kind == "down":
+        self._backends.connections.add(self)
+        if self._backends.behaviour(self.address).kind == "down":
             reset(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._of.links.discard(self)
+        """Ends the present request's record."""
+        self._backends.connections.discard(self)
         if self._arrival and not self._arrival.ended_at:
             self._arrival.ended_at = time.monotonic()
 
     def data_received(self, data: bytes) -> None:
+        """Reads requests."""
         if not self._began_at:
-            self._began_at, self.rests_since = time.monotonic(), 0.0
+            self._began_at = time.monotonic()
+            self._idle_since = 0.0
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        self._url, self._headers, self._body = b"", {}, bytearray()
+        """The parser has found a request's first line."""
+        self._url = b""
+        self._headers = {}
+        self._body = bytearray()
 
     def on_url(self, part: bytes) -> None:
+        """The parser has some of the target."""
         self._url += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """The parser has a header."""
         self._headers[name.lower()] = value
 
     def on_body(self, part: bytes) -> None:
+        """The parser has some of the body."""
         self._body += part
 
     def on_message_complete(self) -> None:
-        if self._url == b"/metrics/load" or self._url == b"/alive":
-            self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        """The parser has a whole request: records it, and answers after some work."""
+        if self._url in PROBE_TARGETS:
+            self.transport.write(PROBE_ANSWER)
             self._began_at = 0.0
             return
-        body, headers, target = bytes(self._body), self._headers, urlsplit(self._url.decode())
-        told = headers.get(b"request-timeout", b"0m").decode()
-        cls, asked = target.path.split("/")[1], parse_qs(target.query)
-        request_id = headers.get(b"request-id", b"").decode()
-        sound = asked.get("id") == [request_id] and asked.get("body") == [str(len(body))]
-        if cls == WITH_KEY:
-            sound = sound and headers.get(b"idempotency-key", b"").decode() == idempotency_key(request_id)
-        seconds = int(told[:-1]) / (1000 if told.endswith("m") else 1e6)
+        target = urlsplit(self._url.decode())
+        query = parse_qs(target.query)
+        request_id = self._headers.get(b"request-id", b"").decode()
         self._arrival = Arrival(
-            request_id, self.address, self._began_at, time.monotonic(), seconds, sound=sound
+            request_id,
+            self.address,
+            self._began_at,
+            time.monotonic(),
+            self._time_told(),
+            sound=self._is_unchanged(request_id, target.path.split("/")[1], query),
         )
-        self._of.arrivals.append(self._arrival)
-        self._begin(expected_answer(request_id, body, int(asked.get("size", ["0"])[0])))
-
-    def _begin(self, answer: bytes) -> None:
-        rng, mode = self._of.rng, self._of.mode(self.address)
-        kind = mode.kind if rng.random() < mode.part else "sound"
-        work = min(rng.expovariate(1 / WORK), 10 * WORK) + (SLOW * rng.random() if kind == "slow" else 0.0)
+        self._backends.arrivals.append(self._arrival)
+        answer_size = int(query.get("size", ["0"])[0])
+        self._begin_work(expected_answer(request_id, bytes(self._body), answer_size))
+
+    def _time_told(self) -> float:
+        """Returns the seconds that the ingress will wait."""
+        told = self._headers.get(b"request-timeout", b"0m").decode()
+        return int(told[:-1]) / (1000 if told.endswith("m") else 1e6)
+
+    def _is_unchanged(self, request_id: str, request_class: str, query: dict[str, list[str]]) -> bool:
+        """Returns whether id, body and key are as the client sent them."""
+        if query.get("id") != [request_id] or query.get("body") != [str(len(self._body))]:
+            return False
+        key = self._headers.get(b"idempotency-key", b"").decode()
+        return request_class != WITH_KEY or key == idempotency_key(request_id)
+
+    def _begin_work(self, answer: bytes) -> None:
+        rng = self._backends.rng
+        behaviour = self._backends.behaviour(self.address)
+        kind = behaviour.kind if rng.random() < behaviour.fraction else "sound"
+        work = min(rng.expovariate(1 / MEAN_WORK), MAX_WORK)
+        if kind == "slow":
+            work += SLOW_WORK * rng.random()
         if kind == "hang":
             return
         if kind == "full" and self._arrival:
             self._arrival.never_ran = True
-            work = 0.001
+            work = REJECTION_WORK
         asyncio.get_running_loop().call_later(work, self._answer, kind, answer)
 
     def _answer(self, kind: str, answer: bytes) -> None:
         if self.transport.is_closing():
             return
-        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer)
+        loop = asyncio.get_running_loop()
         match kind:
             case "reset":
                 self.end(by_reset=True)
             case "error":
-                self._write(ERROR)
+                self._write_last(ERROR)
             case "full":
-                self._write(TURNED_AWAY)
+                self._write_last(REJECTED)
             case "garbage":
-                self._write(GARBAGE)
-            case "broken":  # on the way
-                self.transport.write(head + answer[: len(answer) // 2])
-                asyncio.get_running_loop().call_later(0.01, self.end, self._of.rng.random() < 0.5)
+                self._write_last(GARBAGE)
+            case "broken":  # half way through
+                self.transport.write(head_for(answer) + answer[: len(answer) // 2])
+                loop.call_later(0.01, self.end, self._backends.rng.random() < 0.5)
             case "no length":
-                self.transport.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + answer)
-                self._finish()
+                self._write_last(NO_LENGTH_HEAD + answer)
                 self.end(by_reset=False)
             case "no length reset":
-                self.transport.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + answer[:-1])
-                asyncio.get_running_loop().call_later(0.01, self.end, True)
+                self.transport.write(NO_LENGTH_HEAD + answer[:-1])
+                loop.call_later(0.01, self.end, True)
             case "twice":
-                self._write(head + answer)
-                asyncio.get_running_loop().call_later(0.005, self._copy, head + answer)
+                self._write_last(head_for(answer) + answer)
+                loop.call_later(0.005, self._write_if_idle, head_for(answer) + answer)
             case _:
-                asyncio.get_running_loop().create_task(self._pieces(head + answer))
+                self._writing = loop.create_task(self._write_in_pieces(head_for(answer) + answer))
 
-    async def _pieces(self, data: bytes) -> None:
+    async def _write_in_pieces(self, data: bytes) -> None:
         for at in range(0, len(data), PIECE):
             if at:
-                await asyncio.sleep(0.01)
+                await asyncio.sleep(PIECE_GAP)
             if self.transport.is_closing():
                 return
             self.transport.write(data[at : at + PIECE])
         self._finish()
 
-    def _copy(self, data: bytes) -> None:
+    def _write_if_idle(self, data: bytes) -> None:
         if not self.transport.is_closing() and self._arrival is None:
             self.transport.write(data)
 
-    def _write(self, data: bytes) -> None:
+    def _write_last(self, data: bytes) -> None:
         self.transport.write(data)
         self._finish()
 
     def _finish(self) -> None:
         if self._arrival:
             self._arrival.ended_at = time.monotonic()
-        self._arrival, self._began_at, self.rests_since = None, 0.0, time.monotonic()
-
-    def end(self, by_reset: bool) -> None:
-        if by_reset:
-            reset(self.transport)
-        else:
-            self.transport.close()
+        self._arrival = None
+        self._began_at = 0.0
+        self._idle_since = time.monotonic()
 
 
 class Host:
-    """The worker's host."""
+    """The worker's host: what the run asks of its endpoints."""
 
     async def start(self, seed: int, idle: float) -> int:
+        """Listens; returns the port."""
         self._backends = Backends(seed, idle)
         await self._backends.start()
         return self._backends.port
 
-    def behave(self, address: str, kind: str, part: float) -> None:
-        self._backends.modes[address] = Mode(kind, part)
-        if kind == "down":
-            for link in [x for x in self._backends.links if x.address == address]:
-                link.end(by_reset=True)
+    def behave(self, address: str, kind: str, fraction: float) -> None:
+        """Sets how an endpoint answers."""
+        self._backends.behave(address, Behaviour(kind, fraction))
 
-    def told(self) -> dict[str, Any]:
+    def result(self) -> dict[str, Any]:
+        """Returns what was recorded."""
         return {"arrivals": msgspec.to_builtins(self._backends.arrivals), "lag": self._backends.lag}
--- a/ingress_testbed/soak/discovery.py
+++ b/ingress_testbed/soak/discovery.py
@@ -10,6 +10,7 @@
 
 
 def agent(node: int, port: int) -> str:
+    """Returns the address at which node number `node` calls discovery."""
     return f"127.9.0.{node + 1}:{port}"
 
 
@@ -22,10 +23,12 @@
         self.written: list[Written] = []
 
     async def start(self) -> None:
+        """Listens at every loopback address, and beats each 2 s."""
         await self.serve(lambda: NodeCaller(self))
         self.every(2.0, self._beat)
 
     def change(self, entries: list[dict[str, Any]]) -> int:
+        """Tells changed entries, and records those that leave. Returns the new version."""
         now = time.monotonic()
         for entry in entries:
             if entry["status"] != "up":
@@ -46,6 +49,8 @@
 
 
 class NodeCaller(Caller):
+    """A call of a node: what it has been written is recorded."""
+
     _discovery: NodeDiscovery
 
     def _answer(self, target: str) -> None:
--- /dev/null
+++ b/ingress_testbed/soak/fault_plan.py
@@ -0,0 +1,77 @@
+"""The faults of a run: drawn from its seed, and spread so that two or three overlap at most moments."""
+
+from __future__ import annotations
+
+import random
+from typing import NamedTuple
+
+from ingress_testbed.soak.records import Fault
+
+QUIET_START = 2.0  # s at the beginning without faults
+QUIET_END = 4.0  # s at the end without new ones
+
+
+class FaultKind(NamedTuple):
+    """How often a kind of fault is drawn, and how long it lasts."""
+
+    weight: float
+    shortest: float  # s; 0: it is a moment's work
+    longest: float  # s
+
+
+KINDS: dict[str, FaultKind] = {
+    "stop node": FaultKind(4, 0, 0),
+    "kill node": FaultKind(3, 0, 0),
+    "upgrade node": FaultKind(2, 0, 0),
+    "failed upgrade": FaultKind(1, 0, 0),
+    "reload": FaultKind(3, 0, 0),
+    "reload twice": FaultKind(2, 0, 0),
+    "hold node up": FaultKind(6, 0.05, 0.15),
+    "crowd": FaultKind(2, 1, 3),
+    "discovery silent": FaultKind(2, 1, 5),
+    "discovery cut": FaultKind(2, 0, 0),
+    "discovery turns away": FaultKind(2, 1, 3),
+    "counter silent": FaultKind(2, 1, 3),
+    "counter cut": FaultKind(1, 0, 0),
+    "counter spoilt": FaultKind(2, 0.5, 2),
+    "drain node": FaultKind(2, 0.3, 2),
+    "clients leave": FaultKind(3, 0, 0),
+    "drain backends": FaultKind(5, 0, 0),
+    "remove backends": FaultKind(3, 0, 0),
+    "restart backends": FaultKind(4, 0.2, 1.5),
+    "backend down": FaultKind(3, 0.5, 3),
+    "backend hang": FaultKind(3, 0.5, 3),
+    "backend reset": FaultKind(2, 0.5, 3),
+    "backend broken": FaultKind(2, 0.5, 3),
+    "backend error": FaultKind(1, 0.5, 2),
+    "backend full": FaultKind(2, 0.5, 2),
+    "backend garbage": FaultKind(1, 0.5, 2),
+    "backend slow": FaultKind(2, 0.5, 3),
+    "backend twice": FaultKind(2, 0.5, 3),
+    "backend no length": FaultKind(2, 0.5, 3),
+    "backend no length reset": FaultKind(1, 0.5, 3),
+    "system calls": FaultKind(5, 0.5, 3),
+    "wall clock": FaultKind(2, 0, 0),
+    "ban backend": FaultKind(1, 1, 4),
+}
+
+
+def draw_faults(rng: random.Random, seconds: float, nodes: int, gap: float) -> list[Fault]:
+    """Returns the faults of a run of `seconds`, in the order of their beginnings.
+
+    Args:
+        rng: The order of draws is part of a seed's meaning.
+        seconds: How long the run's clients come.
+        nodes: How many ingresses there are.
+        gap: s from one fault to the next, in the mean.
+    """
+    faults = []
+    names = list(KINDS)
+    weights = [kind.weight for kind in KINDS.values()]
+    at = QUIET_START
+    while at < seconds - QUIET_END:
+        (name,) = rng.choices(names, weights)
+        kind = KINDS[name]
+        faults.append(Fault(at, name, rng.randrange(nodes), rng.uniform(kind.shortest, kind.longest)))
+        at += rng.expovariate(1 / gap)
+    return faults
--- a/ingress_testbed/soak/judge.py
+++ b/ingress_testbed/soak/judge.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Iterator
 from itertools import pairwise
 
+from ingress_testbed.soak.endpoints import host_of
 from ingress_testbed.soak.records import Arrival, Call, Ending, Life, Run, Written
-from ingress_testbed.soak.run import host_of
 from ingress_testbed.soak.setup import GRACE, IDEMPOTENT, LONGEST, NOT_IDEMPOTENT, WITH_KEY
 
 SLACK = 0.05  # s by which every limit is longer on sockets
@@ -38,15 +38,15 @@
     for life in run.lives:
         lives[life.node].append(life)
     found: list[tuple[str, str]] = []
-    for id, asked in calls.items():
+    for request_id, asked in calls.items():
         of_node = lives[asked[0].node]
         crossed = len(asked) > 1 and asked[0].ending in (Ending.CLOSED, Ending.RESET)
         for call in asked[crossed:]:  # if the first had been read, the second would not be answered
             found += [("P1 one final answer", why) for why in _answered(run, call, of_node, slack)]
-        found += [("P3 unchanged", f"{id}: {call}") for call in asked if not call.sound]
+        found += [("P3 unchanged", f"{request_id}: {call}") for call in asked if not call.sound]
         if not _cut_by_a_kill(asked, of_node):  # else the client may have repeated what had run
-            found += _effects(run, id, asked, arrivals[id], slack)
-        found += _times(asked[-1], arrivals[id], of_node, slack)
+            found += _effects(run, asked, arrivals[request_id], slack)
+        found += _times(asked[-1], arrivals[request_id], of_node, slack)
     found += [("P3 unchanged", f"{a}") for a in run.arrivals if not a.sound or a.id not in calls]
     found += [("P7 nothing new to a draining backend", why) for why in _drains(run, lives, calls, slack)]
     found += [why for life in run.lives for why in _life(life)]
@@ -83,7 +83,7 @@
 
 def _crowded(run: Run, call: Call) -> bool:
     """Silent connections fill the node's descriptors: others may be closed unread then."""
-    crowds = (t for t in run.troubles if t.kind == "crowd" and t.target == call.node)
+    crowds = (t for t in run.faults if t.kind == "crowd" and t.target == call.node)
     return any(0 <= call.ended_at - run.began_at - t.at <= t.seconds + CROWD_LASTS for t in crowds)
 
 
@@ -113,20 +113,20 @@
     return True
 
 
-def _effects(
-    run: Run, id: str, asked: list[Call], got: list[Arrival], slack: float
-) -> Iterator[tuple[str, str]]:
-    request_class, ran = asked[0].request_class, [a for a in got if not a.never_ran]
+def _effects(run: Run, asked: list[Call], got: list[Arrival], slack: float) -> Iterator[tuple[str, str]]:
+    request_id = asked[0].id
+    request_class = asked[0].request_class
+    ran = [arrival for arrival in got if not arrival.never_ran]
     if len(ran) > 1 and request_class == NOT_IDEMPOTENT:
-        yield "P4 unsafe requests once", f"{id}: {ran}"
+        yield "P4 unsafe requests once", f"{request_id}: {ran}"
     if len(ran) > 1 and request_class == WITH_KEY and ran[-1].whole_at > ran[0].began_at + run.window + slack:
-        yield "P5 keyed repeats in their window", f"{id}, window {run.window}: {ran}"
+        yield "P5 keyed repeats in their window", f"{request_id}, window {run.window}: {ran}"
     if not run.may_hedge or request_class == NOT_IDEMPOTENT:
         for before, after in pairwise(ran):
             if not before.ended_at or after.whole_at < before.ended_at - slack:
-                yield "P4 no second copy", f"{id}: {before} {after}"
+                yield "P4 no second copy", f"{request_id}: {before} {after}"
     if request_class == NOT_IDEMPOTENT and ran and any(call.status in (429, 503) for call in asked):
-        yield "P6 refusals are harmless", f"{id}: {asked} {ran}"
+        yield "P6 refusals are harmless", f"{request_id}: {asked} {ran}"
 
 
 def _times(call: Call, got: list[Arrival], lives: list[Life], slack: float) -> Iterator[tuple[str, str]]:
@@ -145,9 +145,11 @@
 def _drains(
     run: Run, lives: dict[int, list[Life]], calls: dict[str, list[Call]], slack: float
 ) -> Iterator[str]:
-    """A process counts as told of a change once it has been written to it, and by a deadline at the latest,
+    """Yields the requests that were sent to endpoints that drain or are gone.
+
+    A process counts as notified of a change once it has been written to it, and by a deadline at the latest,
     which runs from when discovery had the change and could be reached. What is written while two processes of
-    a node live counts for neither: each may have another discovery, and it does not show which was told.
+    a node live counts for neither: each may have another discovery, and it does not show which was notified.
     """
     withdrawn = {host_of(w.backend): w for w in reversed(run.withdrawals)}
     written: dict[int, list[Written]] = defaultdict(list)
@@ -185,7 +187,7 @@
         yield "its own rules", f"{name}: {rule}"
     if life.ready_at - life.started_at > READY_WITHIN:
         yield "P21 ready", f"{name}: after {life.ready_at - life.started_at:.1f} s"
-    twice = {id: how for id, how in life.ended.items() if len(how) > 1}
+    twice = {request: endings for request, endings in life.ended.items() if len(endings) > 1}
     if twice:
         yield "P2 one outcome", f"{name}: {twice}"
     if life.killed_at and not life.stopped_at:
@@ -195,7 +197,7 @@
     if not life.stopped_at and not life.handed_over_at and life.ended_at:
         yield "P1 no crash", f"{name}: it ended by itself with {life.exit_code}"
     if not life.killed_at:
-        open_still = [id for id in life.arrived if id not in life.ended]
+        open_still = [request for request in life.arrived if request not in life.ended]
         if open_still:
             yield "P1 one final answer", f"{name}: nothing became of {open_still[:5]}"
 
@@ -222,7 +224,7 @@
         "safe requests": float(safe),
         "arrivals": float(len(run.arrivals)),
         "repeats": float(repeats),
-        "troubles": float(len(run.troubles)),
+        "faults": float(len(run.faults)),
         "processes": float(len(run.lives)),
         "bad peers": float(len(run.bad_peers)),
         "most late s": max(run.lag.values()),
--- a/ingress_testbed/soak/nodes.py
+++ b/ingress_testbed/soak/nodes.py
@@ -82,18 +82,22 @@
             self.life.ready_at = time.monotonic()
             self.ready.set_result(None)
 
-    async def over(self) -> None:
+    async def wait(self) -> None:
+        """Returns once the process has ended and its log is read."""
         await self._log
 
     @property
     def alive(self) -> bool:
+        """Whether the process has not ended."""
         return self.process.returncode is None
 
     def signal(self, number: int) -> None:
+        """Sends a signal, if the process is there."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
     def kill(self) -> None:
+        """Ends the process by SIGKILL."""
         if self.alive:
             self.life.killed_at = time.monotonic()
             self.signal(signal.SIGKILL)
@@ -105,7 +109,7 @@
         done, _ = await asyncio.wait([self._log], timeout=KILL_AFTER)
         if not done:
             self.kill()
-            await self.over()
+            await self.wait()
 
     def reload(self) -> None:
         """SIGHUP, which does not come within the first second, nor before the process is ready."""
@@ -133,8 +137,8 @@
 
         return await asyncio.to_thread(called)
 
-    def look(self) -> None:
-        """Notes what it holds now."""
+    def record_resources(self) -> None:
+        """Records the descriptors and the memory that the process holds now."""
         with contextlib.suppress(OSError, KeyError):
             self.life.descriptors = len(os.listdir(f"/proc/{self.process.pid}/fd"))
             self.life.memory_mb = proc.memory(self.process.pid)[0]
@@ -156,10 +160,12 @@
 
     @property
     def process(self) -> Process:
+        """The newest process."""
         return self.processes[-1]
 
     @property
     def lives(self) -> list[Life]:
+        """The records of all processes, the newest last."""
         return [process.life for process in self.processes]
 
     def configure(self, config: dict[str, Any]) -> None:
@@ -205,17 +211,19 @@
         return process
 
     async def restart(self, by_kill: bool) -> None:
+        """Ends the process, gracefully or by SIGKILL, and starts another."""
         async with self._turn:
             if by_kill:
                 self.process.kill()
-                await self.process.over()
+                await self.process.wait()
             else:
                 await self.process.stop()
             await self.start()
 
     async def upgrade(self, fails: bool) -> None:
-        """A new process beside the old one; then SIGTERM to the old one, or, where it fails, the end of the
-        new one, so that the old one serves again.
+        """Starts a new process beside the old one, and ends the old one.
+
+        An upgrade that fails ends the new one instead, so that the old one serves again.
         """
         async with self._turn:
             old = self.process
@@ -223,7 +231,7 @@
             new = await self.start()
             if fails:
                 new.kill()
-                await new.over()
+                await new.wait()
                 self.processes.remove(new)
                 self.processes.insert(len(self.processes) - 1, new)
                 old.life.handed_over_at = 0.0
@@ -231,6 +239,7 @@
                 await old.stop()
 
     async def end(self) -> None:
+        """Ends the node for good, gracefully."""
         async with self._turn:
             if self.process.alive:
                 await self.process.stop()
@@ -239,6 +248,7 @@
             self.socket.close()
 
     def kill(self) -> None:
+        """Ends all processes by SIGKILL."""
         for process in self.processes:
             if process.alive:
                 process.signal(signal.SIGCONT)
--- a/ingress_testbed/soak/records.py
+++ b/ingress_testbed/soak/records.py
@@ -45,7 +45,7 @@
     whole_at: float
     told: float  # s that the ingress will wait
     ended_at: float = 0.0  # its answer was written, or its connection ended
-    never_ran: bool = False  # turned away as not started
+    never_ran: bool = False  # rejected as not started
     sound: bool = True  # body, key and target are as the client sent them
 
 
@@ -95,7 +95,9 @@
     memory_mb: float = 0.0
 
 
-class Trouble(msgspec.Struct):
+class Fault(msgspec.Struct):
+    """A fault that is injected into the run."""
+
     at: float  # s from the start of the run
     kind: str
     target: int = 0
@@ -103,11 +105,13 @@
 
 
 class Run(msgspec.Struct):
+    """All that was recorded of a run."""
+
     seed: int
     began_at: float
     window: float  # s of a keyed class
     may_hedge: bool
-    troubles: list[Trouble]
+    faults: list[Fault]
     calls: list[Call]
     arrivals: list[Arrival]
     bad_peers: list[BadPeer]
--- a/ingress_testbed/soak/setup.py
+++ b/ingress_testbed/soak/setup.py
@@ -16,6 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
+    """The settings that differ from run to run."""
+
     nodes: int
     window: float  # s of a keyed class
     may_hedge: bool
@@ -26,6 +28,7 @@
 
     @classmethod
     def draw(cls, rng: random.Random, nodes: int) -> Setup:
+        """Draws the settings of a run with so many nodes."""
         return cls(
             nodes,
             window=rng.choice([0.6, 1.5, 5.0]),
@@ -87,4 +90,5 @@
 
 
 def idempotency_key(request_id: str) -> str:
+    """Returns the key that a client sends with a request."""
     return f"key-{request_id}"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,10 +7,11 @@
 
 import pytest
 
+from ingress_testbed.soak.endpoints import host_of
+from ingress_testbed.soak.fault_plan import KINDS, draw_faults
 from ingress_testbed.soak.judge import figures, judge
 from ingress_testbed.soak.records import Arrival, BadPeer, Call, Ending, Life, Run, Withdrawal, Written
-from ingress_testbed.soak.run import Soak, host_of
-from ingress_testbed.soak.troubles import KINDS, draw
+from ingress_testbed.soak.run import RunSize, Soak
 
 BACKEND = "s-00000001"
 HOST = host_of(BACKEND)
@@ -115,15 +116,16 @@
     assert rules(run([call()], [arrival()], bad_peers=[peer])) == ["P14"]
 
 
-def test_troubles_are_the_same_for_the_same_seed_and_overlap() -> None:
-    first, again = (draw(random.Random(3), 30.0, 4, 0.2) for _ in range(2))
-    assert first == again and {trouble.kind for trouble in first} <= KINDS.keys()
-    assert len(first) > 60 and all(trouble.at < 26 for trouble in first)
+def test_faults_are_the_same_for_the_same_seed_and_overlap() -> None:
+    first, again = (draw_faults(random.Random(3), 30.0, 4, 0.2) for _ in range(2))
+    assert first == again and {fault.kind for fault in first} <= KINDS.keys()
+    assert len(first) > 60 and all(fault.at < 26 for fault in first)
 
 
 async def test_a_short_run_of_real_processes_keeps_the_promises(tmp_path: Path) -> None:
-    soak = Soak(seed=5, seconds=9.0, nodes=3, backends=9, rate=60.0, gap=0.6, folder=tmp_path)
+    size = RunSize(seconds=9.0, nodes=3, backends=9, rate=60.0, gap=0.6)
+    soak = Soak(5, size, tmp_path)
     made = await soak.play()
     assert judge(made) == [] and not soak.problems
     told = figures(made)
-    assert told["answered 200"] > 300 and told["troubles"] >= 3 and told["bad peers"] > 10
+    assert told["answered 200"] > 300 and told["faults"] >= 3 and told["bad peers"] > 10
