--- a/quota_ingress/net/discovery/watch_connection.py
+++ b/quota_ingress/net/discovery/watch_connection.py
@@ -15,7 +15,7 @@
 from quota_ingress.net.discovery.list_parser import EndpointListParser, LineResult
 from quota_ingress.net.discovery.packed_entry import pack_entry
 from quota_ingress.net.discovery.watch_retry import HEARTBEAT_TIMEOUT, CallEnd, WatchRetryPolicy
-from quota_ingress.net.http import MAX_HEAD
+from quota_ingress.net.http import MAX_HEAD_BYTES
 
 FIRST_ERROR_STATUS = 300  # lists come with statuses below
 
@@ -136,7 +136,7 @@
     def _check_head_size(self, received_bytes: int) -> None:
         if not self._is_head_complete:
             self._head_bytes += received_bytes
-        if self._head_bytes > MAX_HEAD:
+        if self._head_bytes > MAX_HEAD_BYTES:
             raise EndpointListError("head of the answer: too long")
 
     def _read_body(self) -> None:
--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -14,7 +14,7 @@
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.settings import Settings
-from quota_ingress.policy.subsetting import deal
+from quota_ingress.policy.subsetting import assign_subset
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
         """Starts empty; entries are registered with `upstream` before the policy hears of them."""
         self.directory = EndpointDirectory()
         self.numbers: dict[str, int] = {}
-        self.subset = deal(settings.gateway_index, settings.fleet_size, 0)
+        self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
         self.restored_at: Callable[[str], int] = lambda name: 0
         self._settings = settings
         self._index = index
@@ -66,7 +66,7 @@
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
         self.directory.apply(listing)
         subset_before = self.subset
-        self.subset = deal(
+        self.subset = assign_subset(
             self._settings.gateway_index, self._settings.fleet_size, self.directory.ready_count, subset_before
         )
         change = _Change()
@@ -76,7 +76,7 @@
         listed = [self._listed_endpoint(entry, number, now) for entry, number in told]
         if not listing.is_snapshot:
             listed += [_removed_endpoint(number) for number in change.removed]
-        ready_total = self.directory.ready_count if self.subset.held > 1 else 0
+        ready_total = self.directory.ready_count if self.subset.candidate_parts > 1 else 0
         event = EndpointsListed(kind, listing.version, tuple(listed), ready_total)
         return EndpointUpdate(event, change.removed)
 
@@ -95,9 +95,9 @@
 
         One that is draining is not taken in for its place in the subset, but stays where it was.
         """
-        if name not in self.directory or not self.subset.holds(hash_key(name)):
+        if name not in self.directory or not self.subset.is_candidate(hash_key(name)):
             return False
-        return self.subset.held == 1 or name in self.numbers or self.directory.is_ready(name)
+        return self.subset.candidate_parts == 1 or name in self.numbers or self.directory.is_ready(name)
 
     def _apply(self, name: str, change: _Change) -> None:
         if self.in_subset(name):
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -9,14 +9,17 @@
 
 from quota_ingress.net.clock import Clock
 from quota_ingress.net.descriptors import DescriptorBudget
+from quota_ingress.net.discovery.directory import EndpointDirectory
 from quota_ingress.net.discovery.endpoint import EndpointEntry
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint, decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
+from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.actions import Action, Fail, SendAttempt
+from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.events import AttemptEnded, Event, RequestArrived
 from quota_ingress.settings_codec import settings_from_json
 
@@ -97,6 +100,19 @@
         return self.of(kind)
 
 
+def overrides_of_own_directory(
+    now: Callable[[], int], observe: Callable[[EndpointList], None] = lambda endpoints: None
+) -> OperatorOverrides:
+    """Overrides without an engine: what they publish is kept in a directory, and then observed."""
+    directory = EndpointDirectory()
+
+    def publish(endpoints: EndpointList, kind: ListKind | None) -> None:
+        directory.apply(endpoints)
+        observe(endpoints)
+
+    return OperatorOverrides(now, publish, directory)
+
+
 def send_first(event: Event) -> list[Action]:
     """Sends every request to backend 1, and fails it if that does not serve it."""
     if isinstance(event, RequestArrived):
@@ -223,3 +239,8 @@
     headers |= {} if method == "GET" else {"Content-Length": "0"}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value != "-")
     return f"{method} /{cls}/x?y=1 HTTP/1.1\r\n{lines}\r\n".encode()
+
+
+def asked(backend: PeerServer) -> list[bytes]:
+    """The ids that have reached the backend, in the order of connections."""
+    return [part[:2] for peer in backend.peers for part in peer.data.split(b"Request-Id: ")[1:]]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -18,7 +18,7 @@
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.policy.endpoint_list import EndpointsListed
-from quota_ingress.policy.endpoint_set import COLD_PART
+from quota_ingress.policy.slow_start import SLOW_START_BUDGET_FRACTION
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
 from tests.process_helpers import ask, config, listens, start
 
@@ -97,7 +97,7 @@
             safety.initial_capacity_fraction
             + (1 - safety.initial_capacity_fraction) * (age_us + spare) / ramp
         )
-        assert COLD_PART * believed <= present * 1.0001
+        assert SLOW_START_BUDGET_FRACTION * believed <= present * 1.0001
     assert age_tolerance(replace(safety, initial_capacity_fraction=1.0)) == 0
 
 
