--- a/ingress_testbed/soak/fault_injector.py
+++ b/ingress_testbed/soak/fault_injector.py
@@ -17,7 +17,7 @@
 from ingress_testbed.soak.endpoints import EndpointTable
 from ingress_testbed.soak.nodes import Node
 from ingress_testbed.soak.records import Fault
-from ingress_testbed.standins.counter import Counter
+from ingress_testbed.standins.counter import CounterServer
 from ingress_testbed.worker import Worker
 
 CLOCK_STEPS = (3.0, -3.0, 3600.0, -3600.0, 0.0)  # s by which a wall clock is stepped
@@ -52,7 +52,7 @@
 
     nodes: list[Node]
     discoveries: list[NodeDiscovery]
-    counters: list[Counter]
+    counters: list[CounterServer]
     clients: Worker
     backends: Worker
     endpoints: EndpointTable
@@ -134,25 +134,25 @@
         await self._fleet.clients.ask("leave", node=fault.target)
 
     async def _silence_discovery(self, fault: Fault, node: Node) -> None:
-        if any(discovery.silent for discovery in self._fleet.discoveries):
+        if any(discovery.is_silent for discovery in self._fleet.discoveries):
             return
         began_at = time.monotonic()
         for discovery in self._fleet.discoveries:
             discovery.fall_silent()
         await asyncio.sleep(fault.seconds)
         for discovery in self._fleet.discoveries:
-            discovery.speak()
+            discovery.resume()
         self.silences.append((began_at, time.monotonic()))
 
     async def _cut_discovery(self, fault: Fault, node: Node) -> None:
         for discovery in self._fleet.discoveries:
-            discovery.cut()
+            discovery.abort_watches()
 
     async def _reject_at_discovery(self, fault: Fault, node: Node) -> None:
         began_at = time.monotonic()
         for discovery in self._fleet.discoveries:
             discovery.capacity = REJECTING_CAPACITY
-            discovery.cut()
+            discovery.abort_watches()
         await asyncio.sleep(fault.seconds)
         for discovery in self._fleet.discoveries:
             discovery.capacity = 0.0
@@ -160,22 +160,22 @@
 
     async def _silence_counter(self, fault: Fault, node: Node) -> None:
         for counter in self._fleet.counters:
-            counter.silent = True
+            counter.is_silent = True
         await asyncio.sleep(fault.seconds)
         for counter in self._fleet.counters:
-            counter.silent = False
+            counter.is_silent = False
 
     async def _cut_counter(self, fault: Fault, node: Node) -> None:
         for counter in self._fleet.counters:
-            for caller in list(counter.callers):
+            for caller in list(counter.connections):
                 caller.transport.abort()
 
     async def _spoil_counter(self, fault: Fault, node: Node) -> None:
         for counter in self._fleet.counters:
-            counter.spoilt = self._rng.choice((0.05, 0.5))
+            counter.malformed_fraction = self._rng.choice((0.05, 0.5))
         await asyncio.sleep(fault.seconds)
         for counter in self._fleet.counters:
-            counter.spoilt = 0.0
+            counter.malformed_fraction = 0.0
 
     async def _drain_node(self, fault: Fault, node: Node) -> None:
         process = node.process
@@ -226,4 +226,4 @@
 
     def _announce(self, entries: list[dict[str, object]]) -> None:
         for discovery in self._fleet.discoveries:
-            discovery.change([dict(entry) for entry in entries])
+            discovery.apply_change([dict(entry) for entry in entries])
--- a/ingress_testbed/soak/run.py
+++ b/ingress_testbed/soak/run.py
@@ -23,7 +23,7 @@
 from ingress_testbed.soak.nodes import Node
 from ingress_testbed.soak.records import Arrival, BadPeer, Call, Run
 from ingress_testbed.soak.setup import Setup
-from ingress_testbed.standins.counter import Counter
+from ingress_testbed.standins.counter import CounterServer
 from ingress_testbed.worker import HERE, Worker
 
 SETTLE_TIME = 3.5  # s after the last client, in which all that is left has to end
@@ -65,7 +65,7 @@
         self.nodes: list[Node] = []
         self.problems: list[str] = []
         self.discoveries: list[NodeDiscovery] = []
-        self.counters: list[Counter] = []
+        self.counters: list[CounterServer] = []
         self.clients: Worker
         self.backends: Worker
         self.endpoints: EndpointTable
@@ -122,7 +122,7 @@
         self.endpoints = EndpointTable(self._size.backends, port)
         for _ in range(2):  # a reload goes from one to the other
             self.discoveries.append(NodeDiscovery(self.endpoints.entries))
-            self.counters.append(Counter())
+            self.counters.append(CounterServer())
         for discovery in self.discoveries:
             await discovery.start()
         for counter in self.counters:
--- a/ingress_testbed/standins/__init__.py
+++ b/ingress_testbed/standins/__init__.py
@@ -1,1 +1,4 @@
-"""What an ingress leans on, as far as the protocol goes: discovery, the counter, backends. Loopback only."""
+"""Stand-ins for the services that an ingress depends on: discovery, the counter, backends.
+
+They keep the protocol page and listen on loopback only.
+"""
--- a/ingress_testbed/standins/backend.py
+++ b/ingress_testbed/standins/backend.py
@@ -4,91 +4,138 @@
 
 import asyncio
 import math
-from collections import Counter as Tally
+from collections import Counter
 
 from ingress_testbed.standins.sockets import Connection, Server
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwarm"
+OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwarm"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+NOT_STARTED = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+SWEEP_INTERVAL = 1.0  # s
 
 
-class Backends(Server):
-    """`work`: s from a request's last byte to its answer. `room`: requests that one address has under way at
-    most, 0 for any number; a further one is turned away as not started. `idle`: s after which a connection
-    that stands idle is closed.
+class BackendServer(Server):
+    """All backends, told apart by the address that is called.
+
+    Attributes:
+        served: Requests answered with 200.
+        opened: Connections that were made.
+        rejected: Requests rejected as not started.
+        open_by_address: Open connections.
+        max_open: The most connections that one address had open.
+        in_flight_by_address: Requests whose answer is to come.
+        connections: Open connections of all addresses.
     """
 
-    def __init__(self, work: float = 0.0, room: int = 0, idle: float = 10.0) -> None:
-        self.work, self.room, self.idle = work, room, idle
-        self.served = self.opened = self.turned_away = 0
-        self.open: Tally[str] = Tally()  # connections, by address
-        self.most_open = 0
-        self.under_way: Tally[str] = Tally()
-        self.links: set[Link] = set()
+    def __init__(self, work: float = 0.0, max_in_flight: int = 0, idle_timeout: float = 10.0) -> None:
+        """Listens nowhere before `start`.
+
+        Args:
+            work: Seconds from a request's last byte to its answer.
+            max_in_flight: Requests that one address takes at a time; 0 for any number.
+            idle_timeout: Seconds after which an idle connection is closed.
+        """
+        self.work = work
+        self.max_in_flight = max_in_flight
+        self.idle_timeout = idle_timeout
+        self.served = 0
+        self.opened = 0
+        self.rejected = 0
+        self.open_by_address: Counter[str] = Counter()
+        self.max_open = 0
+        self.in_flight_by_address: Counter[str] = Counter()
+        self.connections: set[BackendConnection] = set()
 
     async def start(self) -> None:
-        await self.serve(lambda: Link(self))
-        self.every(1.0, self._sweep)
+        """Listens, and closes idle connections."""
+        await self.serve(lambda: BackendConnection(self))
+        self.every(SWEEP_INTERVAL, self._close_idle)
 
     def stop(self) -> None:
-        self.end(self.links)
+        """Ends all connections."""
+        self.end(self.connections)
+
+    def _close_idle(self) -> None:
+        oldest = asyncio.get_running_loop().time() - self.idle_timeout
+        for connection in list(self.connections):
+            if connection.idle_since < oldest:
+                connection.transport.close()
 
-    def _sweep(self) -> None:
-        oldest = asyncio.get_running_loop().time() - self.idle
-        for link in [x for x in self.links if x.idle_since < oldest]:
-            link.transport.close()
 
+class BackendConnection(Connection):
+    """A connection to one backend, which serves one request at a time.
+
+    Attributes:
+        address: The backend's.
+        idle_since: Seconds of the loop's clock; infinity while a request is in flight.
+    """
 
-class Link(Connection):
-    def __init__(self, backends: Backends) -> None:
-        self._of, self._data, self._waits = backends, b"", False
-        self.address, self.idle_since = "", asyncio.get_running_loop().time()
+    def __init__(self, server: BackendServer) -> None:
+        """Counts at `server`."""
+        self.address = ""
+        self.idle_since = asyncio.get_running_loop().time()
+        self._server = server
+        self._unread = b""
+        self._is_busy = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Counts the connection."""
         super().connection_made(transport)
+        server = self._server
         self.address = self.transport.get_extra_info("sockname")[0]
-        self._of.opened += 1
-        self._of.open[self.address] += 1
-        self._of.most_open = max(self._of.most_open, self._of.open[self.address])
-        self._of.links.add(self)
+        server.opened += 1
+        server.open_by_address[self.address] += 1
+        server.max_open = max(server.max_open, server.open_by_address[self.address])
+        server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._of.open[self.address] -= 1
-        self._of.under_way[self.address] -= self._waits
-        self._of.links.discard(self)
+        """Counts the connection's end."""
+        self._server.open_by_address[self.address] -= 1
+        self._server.in_flight_by_address[self.address] -= self._is_busy
+        self._server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        self._data += data
-        head, end, rest = self._data.partition(b"\r\n\r\n")
-        if not end or self._waits:
-            return
-        lowered = head.lower()
-        length = int(lowered.partition(b"\r\ncontent-length:")[2].partition(b"\r\n")[0] or 0)
-        if len(rest) < length:
+        """Takes a request once it is complete."""
+        self._unread += data
+        head, separator, rest = self._unread.partition(b"\r\n\r\n")
+        if not separator or self._is_busy:
             return
-        self._data = rest[length:]
+        length = _content_length(head)
+        if len(rest) >= length:
+            self._unread = rest[length:]
+            self._take(head)
+
+    def _take(self, head: bytes) -> None:
+        server = self._server
+        in_flight = server.in_flight_by_address[self.address]
         if head.startswith(b"GET /alive "):
-            self.transport.write(ANSWER)
-        elif b"\r\nrequest-id:" not in lowered:
+            self.transport.write(OK)
+        elif b"\r\nrequest-id:" not in head.lower():
             self.transport.write(NOT_FOUND)
-        elif 0 < self._of.room <= self._of.under_way[self.address]:
-            self._of.turned_away += 1
-            self.transport.write(TURNED_AWAY)
-        elif self._of.work:
-            self._waits, self.idle_since = True, math.inf
-            self._of.under_way[self.address] += 1
-            asyncio.get_running_loop().call_later(self._of.work, self._answer)
+        elif 0 < server.max_in_flight <= in_flight:
+            server.rejected += 1
+            self.transport.write(NOT_STARTED)
+        elif server.work:
+            self._is_busy = True
+            self.idle_since = math.inf
+            server.in_flight_by_address[self.address] += 1
+            asyncio.get_running_loop().call_later(server.work, self._finish_work)
         else:
             self._serve()
 
-    def _answer(self) -> None:
+    def _finish_work(self) -> None:
         if not self.transport.is_closing():
-            self._waits = False
-            self._of.under_way[self.address] -= 1
+            self._is_busy = False
+            self._server.in_flight_by_address[self.address] -= 1
             self._serve()
 
     def _serve(self) -> None:
-        self._of.served += 1
+        self._server.served += 1
         self.idle_since = asyncio.get_running_loop().time()
-        self.transport.write(ANSWER)
+        self.transport.write(OK)
+
+
+def _content_length(head: bytes) -> int:
+    _, _, rest = head.lower().partition(b"\r\ncontent-length:")
+    value, _, _ = rest.partition(b"\r\n")
+    return int(value or 0)
--- a/ingress_testbed/standins/counter.py
+++ b/ingress_testbed/standins/counter.py
@@ -1,4 +1,4 @@
-"""The counter: totals by name that expire, parts with a capacity each, a queue, silence."""
+"""The counter: totals by name that expire, partitions with a capacity each, a queue, faults."""
 
 from __future__ import annotations
 
@@ -6,137 +6,224 @@
 import math
 import random
 import zlib
-from collections import Counter as Tally
-from collections import deque
+from collections import Counter, deque
+from typing import NamedTuple
 
 from ingress_testbed.standins.sockets import Connection, Server
 
-LINES = 32  # connections of one address (to one of the counter's own): further ones are reset
-IDLE = 10.0  # s after which a connection is closed
-LONGEST_LIFE = 60_000  # ms
-MOST = 1e9
-LONGEST_NAME = 64
+MAX_CONNECTIONS = 32  # of one caller's address to one of the counter's: further ones are reset
+IDLE_TIMEOUT = 10.0  # s
+SWEEP_INTERVAL = 1.0  # s
+MAX_TTL_MS = 60_000
+MAX_AMOUNT = 1e9
+MAX_NAME_LENGTH = 64  # bytes
+RANDOM_SEED = 1
 
+PONG = b"pong\r\n"
+BUSY = b"busy\r\n"
+ERROR = b"error\r\n"
+MALFORMED = b"ok ?\r\n"
 
-class Part:
-    """Some of the names, with a capacity of its own."""
+
+class InvalidCallError(ValueError):
+    """A line is no call of the protocol."""
+
+
+class AddCall(NamedTuple):
+    """A call that adds to a name."""
+
+    name: bytes
+    amount: float
+    ttl: float  # s
+
+
+class Answer(NamedTuple):
+    """An answer, and the moment of the loop's clock at which it is due."""
+
+    line: bytes
+    due: float
+
+
+class Total(NamedTuple):
+    """A name's total, and the moment of the loop's clock at which the name expires."""
+
+    value: float
+    expires_at: float
+
+
+class Partition:
+    """Some of the names, with a capacity of its own.
+
+    Attributes:
+        totals: By name.
+        free_at: When the last call that was accepted has been answered.
+    """
 
     def __init__(self) -> None:
-        self.totals: dict[bytes, tuple[float, float]] = {}  # the total, and when the name ends
+        self.totals: dict[bytes, Total] = {}
         self.free_at = 0.0
 
-    def add(self, name: bytes, amount: float, life: float, now: float) -> float:
-        """A name lives from the call that made it; an ended one begins anew."""
-        total, ends = self.totals.get(name, (0.0, 0.0))
-        if now >= ends:
-            total, ends = 0.0, now + life
-        self.totals[name] = (total + amount, ends)
-        return total + amount
+    def add(self, call: AddCall, now: float) -> float:
+        """Returns the new total. A name lives from the call that made it; an expired one begins anew."""
+        total = self.totals.get(call.name)
+        if total is None or now >= total.expires_at:
+            total = Total(0.0, now + call.ttl)
+        total = Total(total.value + call.amount, total.expires_at)
+        self.totals[call.name] = total
+        return total.value
 
     def sweep(self, now: float) -> None:
-        self.totals = {n: kept for n, kept in self.totals.items() if now < kept[1]}
-
-
-class Counter(Server):
-    """`capacity`: calls a second that one part can answer, 0 for any number. A call has its turn in order;
-    one that would wait longer than `queue` s is turned away with `busy`.
+        """Drops the names that have expired."""
+        self.totals = {name: total for name, total in self.totals.items() if now < total.expires_at}
+
+
+class CounterServer(Server):
+    """The counter.
+
+    Attributes:
+        partitions: The parts of the names.
+        capacity: Calls a second that one partition answers; 0 for any number.
+        max_queue_time: Seconds; a call that would wait longer for its turn is rejected with `busy`.
+        connections: Open connections.
+        connections_by_address: Their number, by the caller's address and the counter's own.
+        is_silent: Whether it reads calls and answers none.
+        malformed_fraction: Part of the answers that hold no number.
+        add_count: Additions made.
+        ping_count: Pings answered.
+        busy_count: Calls rejected.
+        reset_count: Connections reset as too many.
+        bytes_received: Of all calls.
     """
 
-    def __init__(self, parts: int = 1, capacity: float = 0.0, queue: float = 0.1) -> None:
-        self.parts = [Part() for _ in range(parts)]
-        self.capacity, self.queue = capacity, queue
-        self.callers: set[Line] = set()
-        self.silent = False
-        self.spoilt = 0.0  # the part of the answers that hold no number
-        self.rng = random.Random(1)
-        self.adds = self.pings = self.busy = self.reset = self.received = 0  # received: bytes
-        self.by_address: Tally[tuple[str, str]] = Tally()
+    def __init__(self, partitions: int = 1, capacity: float = 0.0, max_queue_time: float = 0.1) -> None:
+        """Listens nowhere before `start`."""
+        self.partitions = [Partition() for _ in range(partitions)]
+        self.capacity = capacity
+        self.max_queue_time = max_queue_time
+        self.connections: set[CounterConnection] = set()
+        self.connections_by_address: Counter[tuple[str, str]] = Counter()
+        self.is_silent = False
+        self.malformed_fraction = 0.0
+        self.add_count = 0
+        self.ping_count = 0
+        self.busy_count = 0
+        self.reset_count = 0
+        self.bytes_received = 0
+        self._rng = random.Random(RANDOM_SEED)
 
     async def start(self) -> None:
-        await self.serve(lambda: Line(self))
-        self.every(1.0, self._sweep)
+        """Listens, and drops expired names and idle connections."""
+        await self.serve(lambda: CounterConnection(self))
+        self.every(SWEEP_INTERVAL, self._sweep)
 
     def stop(self) -> None:
-        self.end(self.callers)
-
-    def call(self, words: list[bytes], now: float) -> tuple[bytes, float]:
-        """The answer, and the moment when it is due."""
+        """Ends all connections."""
+        self.end(self.connections)
+
+    def answer(self, line: bytes, now: float) -> Answer:
+        """Carries out one call, without its line's end."""
+        if line == b"ping":
+            self.ping_count += 1
+            return Answer(PONG, now)
         try:
-            (word, name, amount_text, life_text) = words
-            amount, life = float(amount_text), int(life_text)
-            if word != b"add" or not 0 < len(name) <= LONGEST_NAME or life < 1 or not abs(amount) <= MOST:
-                raise ValueError
-        except ValueError:
-            return b"error\r\n", now
-        part, due = self.parts[zlib.crc32(name) % len(self.parts)], now
+            call = _parse_add(line)
+        except InvalidCallError:
+            return Answer(ERROR, now)
+        partition = self.partitions[zlib.crc32(call.name) % len(self.partitions)]
+        due = now
         if self.capacity:
-            due = max(now, part.free_at) + 1 / self.capacity
-            if due - now > self.queue:
-                self.busy += 1
-                return b"busy\r\n", now
-            part.free_at = due
-        self.adds += 1
-        total = part.add(name, amount, min(life, LONGEST_LIFE) / 1000, now)
-        if self.spoilt and self.rng.random() < self.spoilt:
-            return b"ok ?\r\n", due
-        return b"ok %.7g\r\n" % total if math.isfinite(total) else b"error\r\n", due
+            due = max(now, partition.free_at) + 1 / self.capacity
+            if due - now > self.max_queue_time:
+                self.busy_count += 1
+                return Answer(BUSY, now)
+            partition.free_at = due
+        self.add_count += 1
+        total = partition.add(call, now)
+        if self.malformed_fraction and self._rng.random() < self.malformed_fraction:
+            return Answer(MALFORMED, due)
+        return Answer(b"ok %.7g\r\n" % total if math.isfinite(total) else ERROR, due)
 
     def _sweep(self) -> None:
         now = asyncio.get_running_loop().time()
-        for part in self.parts:
-            part.sweep(now)
-        for caller in [c for c in self.callers if now - c.heard_at > IDLE]:
-            caller.transport.close()
-
+        for partition in self.partitions:
+            partition.sweep(now)
+        for connection in list(self.connections):
+            if now - connection.last_read_at > IDLE_TIMEOUT:
+                connection.transport.close()
+
+
+def _parse_add(line: bytes) -> AddCall:
+    try:
+        verb, name, amount_text, ttl_text = line.split()
+        amount = float(amount_text)
+        ttl_ms = int(ttl_text)
+    except ValueError as error:
+        raise InvalidCallError(str(error)) from None
+    is_valid_name = 0 < len(name) <= MAX_NAME_LENGTH
+    if verb != b"add" or not is_valid_name or ttl_ms < 1 or not abs(amount) <= MAX_AMOUNT:
+        raise InvalidCallError("a value is out of range")
+    return AddCall(name, amount, min(ttl_ms, MAX_TTL_MS) / 1000)
+
+
+class CounterConnection(Connection):
+    """A connection of one caller, whose calls are answered in their order.
+
+    Attributes:
+        last_read_at: Seconds of the loop's clock.
+    """
 
-class Line(Connection):
-    def __init__(self, counter: Counter) -> None:
-        self._counter, self._rest, self._last_due = counter, b"", 0.0
+    def __init__(self, server: CounterServer) -> None:
+        """Has `server` carry out the calls."""
+        self._server = server
         self._loop = asyncio.get_running_loop()
-        self.heard_at, self._held = self._loop.time(), False
-        self._late: deque[bytes] = deque()  # answers not due yet: timers of one moment fire in any order
-        self._address = ("", "")
+        self.last_read_at = self._loop.time()
+        self._is_counted = False
+        self._addresses = ("", "")
+        self._partial_line = b""
+        self._last_due = 0.0
+        self._delayed: deque[bytes] = deque()  # answers by their order: timers of one moment fire in any
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Counts the connection, or resets it if the caller has too many."""
         super().connection_made(transport)
-        peer, own = (self.transport.get_extra_info(side)[0] for side in ("peername", "sockname"))
-        self._address = (peer, own)
-        if self._counter.by_address[self._address] >= LINES:
-            self._counter.reset += 1
+        peer = self.transport.get_extra_info("peername")[0]
+        own = self.transport.get_extra_info("sockname")[0]
+        self._addresses = (peer, own)
+        if self._server.connections_by_address[self._addresses] >= MAX_CONNECTIONS:
+            self._server.reset_count += 1
             self.transport.abort()
             return
-        self._held = True
-        self._counter.by_address[self._address] += 1
-        self._counter.callers.add(self)
+        self._is_counted = True
+        self._server.connections_by_address[self._addresses] += 1
+        self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self._held:
-            self._counter.by_address[self._address] -= 1
-            self._counter.callers.discard(self)
+        """Counts the connection's end."""
+        if self._is_counted:
+            self._server.connections_by_address[self._addresses] -= 1
+            self._server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        self._counter.received += len(data)
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
-        self.heard_at = now = self._loop.time()
-        if self._counter.silent:
+        """Answers the calls, at once or when they are due."""
+        self._server.bytes_received += len(data)
+        *lines, self._partial_line = (self._partial_line + data).split(b"\r\n")
+        now = self._loop.time()
+        self.last_read_at = now
+        if self._server.is_silent:
             return
-        answers = b""
+        due_now: list[bytes] = []
         for line in lines:
-            answer, due = b"pong\r\n", now
-            if line != b"ping":
-                answer, due = self._counter.call(line.split(), now)
-            else:
-                self._counter.pings += 1
-            due = self._last_due = max(due, self._last_due)  # answers keep the calls' order
-            if due <= now:
-                answers += answer
+            answer, due = self._server.answer(line, now)
+            self._last_due = max(due, self._last_due)  # answers keep the calls' order
+            if self._last_due <= now:
+                due_now.append(answer)
             else:
-                self._late.append(answer)
-                self._loop.call_at(due, self._later)
-        if answers:
-            self.transport.write(answers)
+                self._delayed.append(answer)
+                self._loop.call_at(self._last_due, self._write_delayed)
+        if due_now:
+            self.transport.write(b"".join(due_now))
 
-    def _later(self) -> None:
-        answer = self._late.popleft()
+    def _write_delayed(self) -> None:
+        answer = self._delayed.popleft()
         if not self.transport.is_closing():
             self.transport.write(answer)
--- a/ingress_testbed/standins/discovery.py
+++ b/ingress_testbed/standins/discovery.py
@@ -1,154 +1,214 @@
-"""Discovery: the whole list, watches with a line a change and a beat, a capacity, silence."""
+"""Discovery: snapshots, watches with a line a change and heartbeats, a capacity, faults."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 from collections import deque
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 from ingress_testbed.standins.sockets import Connection, Server
 
-BEAT = 2.0  # s without a change after which a watch gets an empty line
-KEPT = 1000  # changes from which a watch may go on; older versions get the whole list
+LIST_PATH = "/discovery/hosts"
+HEARTBEAT_INTERVAL = 2.0  # s
+HEARTBEAT = b"\n"
+MAX_CHANGES = 1000  # from which a watch may resume; older versions get a snapshot
+MAX_BURST = 0.1  # s of the capacity, and at least one call
+UNKNOWN_VERSION = "-1"
 
+NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+SNAPSHOT_MARK = b'"snapshot":true'  # stands at the beginning of a snapshot's line
+SNAPSHOT_MARK_END = 100  # bytes
 
-def compact(value: Any) -> bytes:
+
+class Change(NamedTuple):
+    """A change of the list, as a line of a watch."""
+
+    version: int
+    line: bytes
+
+
+def encode_json(value: Any) -> bytes:
+    """Returns compact JSON."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 def chunk(data: bytes) -> bytes:
+    """Returns a chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Discovery(Server):
-    """`capacity`: calls answered a second, 0 for any number; a further one is turned away with 503."""
-
-    def __init__(self, entries: list[dict[str, Any]], index: int = 1, capacity: float = 0.0) -> None:
-        self.entries = {e["name"]: e for e in entries}
-        self.index, self.capacity = index, capacity
-        self.watches: set[Caller] = set()
-        self.silent = False  # answers nothing, and open watches get no line
-        self.sent = self.told = self.turned_away = self.lists = self.calls = 0  # sent: bytes
-        self._allowance, self._at = 0.0, 0.0
-        self._changes: deque[tuple[int, bytes]] = deque(maxlen=KEPT)  # the version, and its line
-        self._whole: bytes | None = None  # kept encoded: callers are many, changes few
-        self._missed: list[bytes] = []  # lines of the silence
+class DiscoveryServer(Server):
+    """Discovery, or one agent of it.
+
+    Attributes:
+        entries: The list, by the endpoint's name.
+        version: Its version.
+        capacity: Calls answered a second, 0 for any number; a further one is rejected with 503.
+        watches: The calls that stay open.
+        is_silent: Whether it answers nothing, and sends open watches no line.
+        bytes_sent: All answers.
+        lines_sent: Changes, once for each watch.
+        snapshots_sent: Whole lists.
+        call_count: Calls.
+        rejected_calls: Calls rejected for want of capacity.
+    """
+
+    def __init__(self, entries: list[dict[str, Any]], version: int = 1, capacity: float = 0.0) -> None:
+        """Listens nowhere before `start`."""
+        self.entries = {entry["name"]: entry for entry in entries}
+        self.version = version
+        self.capacity = capacity
+        self.watches: set[DiscoveryConnection] = set()
+        self.is_silent = False
+        self.bytes_sent = 0
+        self.lines_sent = 0
+        self.snapshots_sent = 0
+        self.call_count = 0
+        self.rejected_calls = 0
+        self._allowance = 0.0  # calls that may be answered at once
+        self._allowance_at = 0.0
+        self._changes: deque[Change] = deque(maxlen=MAX_CHANGES)
+        self._snapshot: bytes | None = None  # cached: callers are many, changes few
+        self._missed_lines: list[bytes] = []  # while silent
 
     async def start(self) -> None:
-        await self.serve(lambda: Caller(self))
-        self.every(BEAT, self._beat)
+        """Listens, and sends heartbeats."""
+        await self.serve(lambda: DiscoveryConnection(self))
+        self.every(HEARTBEAT_INTERVAL, self._send_heartbeat)
 
     def stop(self) -> None:
+        """Ends all watches."""
         self.end(self.watches)
 
-    def whole(self) -> bytes:
-        if self._whole is None:
-            listing = {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
-            self._whole = compact(listing)
-        return self._whole
-
-    def change(self, entries: list[dict[str, Any]]) -> int:
-        """Takes the entries in and tells every watch, in one line. The new version."""
-        self.index += 1
-        for e in entries:
-            if e["status"] == "removed":
-                self.entries.pop(e["name"], None)
+    def snapshot(self) -> bytes:
+        """Returns the whole list as JSON."""
+        if self._snapshot is None:
+            entries = list(self.entries.values())
+            self._snapshot = encode_json({"index": self.version, "snapshot": True, "endpoints": entries})
+        return self._snapshot
+
+    def apply_change(self, entries: list[dict[str, Any]]) -> int:
+        """Takes the entries in and sends them to every watch, in one line. Returns the new version."""
+        self.version += 1
+        for entry in entries:
+            if entry["status"] == "removed":
+                self.entries.pop(entry["name"], None)
             else:
-                self.entries[e["name"]] = e
-        line = compact({"index": self.index, "snapshot": False, "endpoints": entries}) + b"\n"
-        self._changes.append((self.index, line))
-        self._whole = None
-        if not self.silent:
-            self._tell(line)
+                self.entries[entry["name"]] = entry
+        line = encode_json({"index": self.version, "snapshot": False, "endpoints": entries}) + b"\n"
+        self._changes.append(Change(self.version, line))
+        self._snapshot = None
+        if self.is_silent:
+            self._missed_lines.append(line)
         else:
-            self._missed.append(line)
-        return self.index
+            self._broadcast(line)
+        return self.version
 
     def fall_silent(self) -> None:
-        self.silent = True
-
-    def speak(self) -> None:
-        """Back after a silence: open watches get what they missed."""
-        self.silent = False
-        for line in self._missed:
-            self._tell(line)
-        self._missed.clear()
-
-    def cut(self) -> None:
-        """All watches end at once, as after a restart of discovery."""
+        """Answers nothing from now on; connections stay open."""
+        self.is_silent = True
+
+    def resume(self) -> None:
+        """Ends a silence: open watches get what they missed."""
+        self.is_silent = False
+        for line in self._missed_lines:
+            self._broadcast(line)
+        self._missed_lines.clear()
+
+    def abort_watches(self) -> None:
+        """Ends all watches at once, as after a restart of discovery."""
         for watch in list(self.watches):
             watch.transport.abort()
 
-    def since(self, version: int) -> bytes:
-        """The lines after that version, or else the whole list as one."""
-        if version == self.index:
+    def lines_since(self, version: int) -> bytes:
+        """Returns the lines after `version`, or else a snapshot as one."""
+        if version == self.version:
             return b""
-        lines = [line for index, line in self._changes if index > version]
-        if 0 < self.index - version == len(lines):
+        lines = [change.line for change in self._changes if change.version > version]
+        if 0 < self.version - version == len(lines):
             return b"".join(lines)
-        return self.whole() + b"\n"
+        return self.snapshot() + b"\n"
 
-    def admits(self) -> bool:
+    def admit_call(self) -> bool:
+        """Returns whether the capacity allows a further call, and counts it if so."""
         if not self.capacity:
             return True
         now = asyncio.get_running_loop().time()
-        grown = self._allowance + (now - self._at) * self.capacity
-        self._allowance, self._at = min(max(1.0, self.capacity / 10), grown), now
+        allowance = self._allowance + (now - self._allowance_at) * self.capacity
+        self._allowance = min(max(1.0, self.capacity * MAX_BURST), allowance)
+        self._allowance_at = now
         if self._allowance < 1:
             return False
         self._allowance -= 1
         return True
 
-    def _tell(self, line: bytes) -> None:
+    def _broadcast(self, line: bytes) -> None:
+        self._send_to_watches(line)
+        self.lines_sent += len(self.watches)
+
+    def _send_heartbeat(self) -> None:
+        if not self.is_silent:
+            self._send_to_watches(HEARTBEAT)
+
+    def _send_to_watches(self, line: bytes) -> None:
         data = chunk(line)
         for watch in self.watches:
             watch.transport.write(data)
-        self.told += len(self.watches)
-        self.sent += len(data) * len(self.watches)
+        self.bytes_sent += len(data) * len(self.watches)
 
-    def _beat(self) -> None:
-        if not self.silent:
-            self._tell(b"\n")
-            self.told -= len(self.watches)
 
+class DiscoveryConnection(Connection):
+    """A connection of one caller; a watch from the moment at which one was asked for."""
 
-class Caller(Connection):
-    def __init__(self, discovery: Discovery) -> None:
-        self._discovery, self._data = discovery, b""
+    def __init__(self, server: DiscoveryServer) -> None:
+        """Answers from the list of `server`."""
+        self._server = server
+        self._unread = b""
 
     def data_received(self, data: bytes) -> None:
-        self._data += data
-        while b"\r\n\r\n" in self._data:
-            head, _, self._data = self._data.partition(b"\r\n\r\n")
-            if not self._discovery.silent:
+        """Answers each call, unless discovery is silent."""
+        self._unread += data
+        while b"\r\n\r\n" in self._unread:
+            head, _, self._unread = self._unread.partition(b"\r\n\r\n")
+            if not self._server.is_silent:
                 self._answer(head.split(b" ")[1].decode())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._discovery.watches.discard(self)
+        """Ends the watch."""
+        self._server.watches.discard(self)
 
     def _answer(self, target: str) -> None:
-        at, discovery = urlsplit(target), self._discovery
-        asked = parse_qs(at.query)
-        discovery.calls += 1
-        if at.path != "/discovery/hosts":
-            self._write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
-        elif not discovery.admits():
-            discovery.turned_away += 1
-            self._write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        elif asked.get("watch") != ["1"]:
-            discovery.lists += 1
-            body = discovery.whole()
-            self._write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-            self._write(body)
+        url = urlsplit(target)
+        query = parse_qs(url.query)
+        server = self._server
+        server.call_count += 1
+        if url.path != LIST_PATH:
+            self._write(NOT_FOUND)
+        elif not server.admit_call():
+            server.rejected_calls += 1
+            self._write(REJECTION)
+        elif query.get("watch") != ["1"]:
+            self._send_snapshot()
         else:
-            lines = discovery.since(int(asked.get("from", ["-1"])[0]))
-            discovery.lists += b'"snapshot":true' in lines[:100]
-            self._write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self._write(chunk(lines or b"\n"))
-            discovery.watches.add(self)
+            self._start_watch(int(query.get("from", [UNKNOWN_VERSION])[0]))
+
+    def _send_snapshot(self) -> None:
+        self._server.snapshots_sent += 1
+        body = self._server.snapshot()
+        self._write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
+        self._write(body)
+
+    def _start_watch(self, version: int) -> None:
+        lines = self._server.lines_since(version)
+        self._server.snapshots_sent += SNAPSHOT_MARK in lines[:SNAPSHOT_MARK_END]
+        self._write(WATCH_HEAD)
+        self._write(chunk(lines or HEARTBEAT))
+        self._server.watches.add(self)
 
     def _write(self, data: bytes) -> None:
-        self._discovery.sent += len(data)
+        self._server.bytes_sent += len(data)
         self.transport.write(data)
--- a/ingress_testbed/standins/sockets.py
+++ b/ingress_testbed/standins/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets that only this machine reaches, and a protocol's shared parts."""
+"""Listening sockets that only this machine reaches, and what the stand-ins' protocols share."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from collections.abc import Callable, Iterable
 from typing import cast
 
-BACKLOG = 4096
+BACKLOG = 4096  # connections
+LOOPBACK_DEVICE = b"lo\0"
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
 
 
-def everywhere_on_loopback() -> socket.socket:
-    """At a free port of every loopback address (127.0.0.0/8) and, bound to that device, of no other."""
+def bind_all_loopback_addresses() -> socket.socket:
+    """Returns a socket at a free port of every loopback address (127.0.0.0/8), and of no other device."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo\0")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
     sock.bind(("0.0.0.0", 0))
     return sock
 
@@ -23,38 +25,50 @@
 def reset(transport: asyncio.Transport) -> None:
     """Ends the connection by a reset, whatever is unread or unsent."""
     if not transport.is_closing():
-        transport.get_extra_info("socket").setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
-        )
+        sock = transport.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         transport.abort()
 
 
 class Connection(asyncio.Protocol):
+    """A connection to a stand-in.
+
+    Attributes:
+        transport: The connection, once it is up.
+    """
+
     transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
 
 
 class Server:
-    """A stand-in's listener; `port` is known once started."""
+    """A stand-in's listener.
+
+    Attributes:
+        port: Where it listens, once it has been started.
+    """
 
     port: int = 0
     _server: asyncio.Server | None = None
     _timer: asyncio.TimerHandle | None = None
 
-    async def serve(self, made: Callable[[], asyncio.Protocol]) -> None:
-        loop, sock = asyncio.get_running_loop(), everywhere_on_loopback()
+    async def serve(self, make_protocol: Callable[[], asyncio.Protocol]) -> None:
+        """Listens at every loopback address."""
+        sock = bind_all_loopback_addresses()
         self.port = sock.getsockname()[1]
-        self._server = await loop.create_server(made, sock=sock, backlog=BACKLOG)
+        loop = asyncio.get_running_loop()
+        self._server = await loop.create_server(make_protocol, sock=sock, backlog=BACKLOG)
 
-    def every(self, seconds: float, what: Callable[[], None]) -> None:
-        """Now, and then each so many seconds until the end. One such task a stand-in."""
-        what()
-        self._timer = asyncio.get_running_loop().call_later(seconds, self.every, seconds, what)
+    def every(self, seconds: float, run: Callable[[], None]) -> None:
+        """Calls `run` now, and then each so many seconds until the end; one such task a stand-in."""
+        run()
+        self._timer = asyncio.get_running_loop().call_later(seconds, self.every, seconds, run)
 
     def end(self, connections: Iterable[Connection]) -> None:
-        """Listens no more, and resets these."""
+        """Stops listening, and aborts `connections`."""
         if self._server:
             self._server.close()
         if self._timer:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -24,9 +24,9 @@
 from ingress_testbed.model import entry
 from ingress_testbed.standins import counter as counter_module
 from ingress_testbed.standins import discovery as discovery_module
-from ingress_testbed.standins.backend import Backends
-from ingress_testbed.standins.counter import Counter
-from ingress_testbed.standins.discovery import Discovery
+from ingress_testbed.standins.backend import BackendServer
+from ingress_testbed.standins.counter import CounterServer
+from ingress_testbed.standins.discovery import DiscoveryServer
 
 HOST, ROOT = "127.0.0.1", Path(__file__).parent.parent
 
@@ -75,19 +75,19 @@
 
 
 async def test_discovery_gives_the_whole_list_and_then_a_line_a_change_after_the_version_named() -> None:
-    async with serving(Discovery([entry(n, 80) for n in range(3)])) as discovery:
+    async with serving(DiscoveryServer([entry(n, 80) for n in range(3)])) as discovery:
         talk = await connect(discovery)
         head = await talk.ask(b"GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n", b"\r\n\r\n")
         length = int(head.partition(b"Content-Length: ")[2].split()[0])
         listing = json.loads(await talk.reader.readexactly(length))
         assert listing["snapshot"] and listing["index"] == 1
         assert listing["endpoints"] == [entry(n, 80) for n in range(3)]
-        discovery.change([entry(1, 80, "draining")])
+        discovery.apply_change([entry(1, 80, "draining")])
         assert b"chunked" in await talk.ask(watch(1), b"\r\n\r\n")
         line = await told(talk)
         assert (line["index"], line["snapshot"]) == (2, False)
         assert [e["status"] for e in line["endpoints"]] == ["draining"]
-        discovery.change([{"name": entry(2, 80)["name"], "status": "removed"}])
+        discovery.apply_change([{"name": entry(2, 80)["name"], "status": "removed"}])
         assert (await told(talk))["index"] == 3 and len(discovery.entries) == 2
 
 
@@ -95,7 +95,7 @@
 async def test_a_watch_from_a_version_that_discovery_does_not_know_begins_with_the_whole_list(
     version: int,
 ) -> None:
-    async with serving(Discovery([entry(0, 80)], index=5)) as discovery:
+    async with serving(DiscoveryServer([entry(0, 80)], version=5)) as discovery:
         talk = await connect(discovery)
         await talk.ask(watch(version), b"\r\n\r\n")
         line = await told(talk)
@@ -105,47 +105,47 @@
 async def test_a_quiet_watch_gets_empty_lines_a_silent_one_nothing_until_discovery_is_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery_module, "BEAT", 0.02)
-    async with serving(Discovery([entry(0, 80)])) as discovery:
+    monkeypatch.setattr(discovery_module, "HEARTBEAT_INTERVAL", 0.02)
+    async with serving(DiscoveryServer([entry(0, 80)])) as discovery:
         talk = await connect(discovery)
         await talk.ask(watch(1), b"\r\n\r\n")
         assert await talk.until(b"1\r\n\n\r\n1\r\n\n\r\n") == b"1\r\n\n\r\n1\r\n\n\r\n"
         discovery.fall_silent()
-        discovery.change([entry(0, 80, "draining")])
+        discovery.apply_change([entry(0, 80, "draining")])
         await asyncio.sleep(0.1)
         other = await connect(discovery)
         other.writer.write(watch(1))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
                 await other.reader.read(1)
-        discovery.speak()
+        discovery.resume()
         assert (await told(talk))["index"] == 2
 
 
 async def test_discovery_turns_away_callers_beyond_its_capacity() -> None:
-    async with serving(Discovery([entry(0, 80)], capacity=0.001)) as discovery:
+    async with serving(DiscoveryServer([entry(0, 80)], capacity=0.001)) as discovery:
         discovery._allowance = 1.0
         talks = [await connect(discovery) for _ in range(3)]
         answers = [(await t.ask(watch(1), b"\r\n\r\n")).split(b" ")[1] for t in talks]
-        assert answers == [b"200", b"503", b"503"] and discovery.turned_away == 2
+        assert answers == [b"200", b"503", b"503"] and discovery.rejected_calls == 2
 
 
 # ---------------------------------------------------------------- the counter
 
 
 async def test_counter_adds_by_name_until_the_name_has_lived() -> None:
-    async with serving(Counter(parts=3)) as counter:
+    async with serving(CounterServer(partitions=3)) as counter:
         talk = await connect(counter)
         calls = b"add a 2.5 60\r\nadd b 1 60000\r\nadd a -0.5 60000\r\nping\r\nadd a 1\r\nadd c 1e10 5\r\n"
         answers = await talk.ask(calls, b"error\r\nerror\r\n")
         assert answers == b"ok 2.5\r\nok 1\r\nok 2\r\npong\r\nerror\r\nerror\r\n"
         await asyncio.sleep(0.08)
         assert await talk.ask(b"add a 1 1000\r\nadd b 0 1\r\n", b"ok 1\r\nok 1\r\n")  # `a` began anew
-        assert (counter.adds, counter.pings) == (5, 1)
+        assert (counter.add_count, counter.ping_count) == (5, 1)
 
 
 async def test_a_counter_at_capacity_answers_in_order_and_turns_away_what_would_wait_too_long() -> None:
-    async with serving(Counter(capacity=50.0, queue=0.05)) as counter:
+    async with serving(CounterServer(capacity=50.0, max_queue_time=0.05)) as counter:
         loop, talk = asyncio.get_running_loop(), await connect(counter)
         began = loop.time()  # the stand-in's own clock: it goes by whole milliseconds
         answers = await talk.ask(b"add n 1 1000\r\n" * 5 + b"ping\r\n", b"pong\r\n")
@@ -156,8 +156,8 @@
 async def test_the_counter_resets_the_33rd_connection_of_an_address_and_closes_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(counter_module, "IDLE", 0.5)
-    async with serving(Counter()) as counter:
+    monkeypatch.setattr(counter_module, "IDLE_TIMEOUT", 0.5)
+    async with serving(CounterServer()) as counter:
         talks = [await connect(counter) for _ in range(32)]
         assert await talks[31].ask(b"ping\r\n", b"pong\r\n")
         other = await connect(counter, "127.3.3.3")  # another ingress, to the counter
@@ -173,7 +173,7 @@
 
 
 async def test_many_backends_share_a_socket_and_each_counts_its_own_connections() -> None:
-    async with serving(Backends(work=0.05, room=1)) as backends:
+    async with serving(BackendServer(work=0.05, max_in_flight=1)) as backends:
         asked = b"GET /read/x HTTP/1.1\r\nRequest-Id: a\r\n\r\n"
         hosts = ("127.1.0.1", "127.9.9.9", "127.1.0.1")
         one, other, again = [await connect(backends, host) for host in hosts]
@@ -184,11 +184,11 @@
         for talk in (one, other):
             assert (await talk.until(b"warm")).startswith(b"HTTP/1.1 200 ")
         assert (await again.ask(b"GET /x HTTP/1.1\r\n\r\n", b"\r\n\r\n")).startswith(b"HTTP/1.1 404 ")
-        assert (backends.served, backends.opened, backends.open["127.1.0.1"]) == (2, 3, 2)
+        assert (backends.served, backends.opened, backends.open_by_address["127.1.0.1"]) == (2, 3, 2)
 
 
 async def test_clients_send_at_drawn_moments_whatever_is_answered() -> None:
-    async with serving(Backends(work=0.3)) as backends:
+    async with serving(BackendServer(work=0.3)) as backends:
         told = await Load(HOST, backends.port).run(100.0, 0.5, seed=7, customers=5, spread=1, routes=1)
     rng, due, drawn = random.Random(7), 0.0, -1
     while due < 0.5:
@@ -203,19 +203,19 @@
 
 async def test_hollow_ingresses_take_changes_and_call_the_counter() -> None:
     entries = [entry(n, 80) for n in range(6)]
-    async with serving(Discovery(entries)) as discovery, serving(Counter()) as counter:
+    async with serving(DiscoveryServer(entries)) as discovery, serving(CounterServer()) as counter:
         crowd = Crowd()
         await crowd.start(0, 3, 4, [HOST, discovery.port], counter.port, pace=0.0)
         async with asyncio.timeout(10):
             while len(discovery.watches) < 3:
                 await asyncio.sleep(0.01)
             since = time.monotonic()
-            version = discovery.change([entry(0, 80, "draining")])
+            version = discovery.apply_change([entry(0, 80, "draining")])
             while len(crowd.in_force(version)) < 3:
                 await asyncio.sleep(0.01)
         assert min(crowd.in_force(version)) >= since and crowd.in_force(version + 1) == []
         got = await crowd.requests(20.0, 0.5, customers=3, spread=4)
-        assert got["served"] > 10 and got["failed"] == 0 and counter.adds > 0
+        assert got["served"] > 10 and got["failed"] == 0 and counter.add_count > 0
         for hollow in crowd._all:
             hollow.discovery.stop()
             hollow.counter.stop()
