--- a/ingress_testbed/__main__.py
+++ b/ingress_testbed/__main__.py
@@ -12,7 +12,7 @@
 
 from ingress_testbed.experiments import ALL
 from ingress_testbed.results import Point, Result, ResultError, read
-from ingress_testbed.slopes import LEAST_SIZES
+from ingress_testbed.slopes import MIN_SIZES
 from ingress_testbed.soak import run as soaks
 from ingress_testbed.soak.judge import figures, judge
 from ingress_testbed.sweep import ProgramError, Stopped, play
@@ -38,8 +38,8 @@
         sizes = sorted({int(part) for part in text.split(",")})
     except ValueError:
         raise click.BadParameter(f"{text!r} is not a list of whole numbers") from None
-    if sizes[0] < 1 or len(sizes) < LEAST_SIZES:
-        raise click.BadParameter(f"{LEAST_SIZES} different sizes or more, each over 0")
+    if sizes[0] < 1 or len(sizes) < MIN_SIZES:
+        raise click.BadParameter(f"{MIN_SIZES} different sizes or more, each over 0")
     return sizes
 
 
@@ -136,7 +136,7 @@
 
 
 def _show(result: Result) -> None:
-    click.echo(f"{result.command}  (program {result.program}{', changed' if result.changed else ''})")
+    click.echo(f"{result.command}  (program {result.program}{', changed' if result.is_modified else ''})")
     for name, by_size in result.medians.items():
         line = "  ".join(f"{size}: {value:.4g}" for size, value in by_size.items())
         if slope := result.slopes.get(name):
--- a/ingress_testbed/experiments/fleet.py
+++ b/ingress_testbed/experiments/fleet.py
@@ -34,9 +34,9 @@
         shapes = [Shape(fleet_size=whole, me=self.size + n) for n in range(REAL)]
         self.real = [await lab.ingress(shape, port, counting) for shape in shapes]
         for _ in range(0, self.size, CROWD):
-            self.crowds.append(await lab.worker("ingress_testbed.hollow:Crowd"))
+            self.crowds.append(await lab.worker("ingress_testbed.hollow:HollowFleet"))
         starts = [
-            crowd.ask(
+            crowd.call(
                 "start",
                 first=n * CROWD,
                 count=min(CROWD, self.size - n * CROWD),
@@ -47,18 +47,18 @@
             )
             for n, crowd in enumerate(self.crowds)
         ]
-        before, told = proc.cpu(self.discovery.pid), await self.discovery.ask("told")
+        before, told = proc.cpu(self.discovery.pid), await self.discovery.call("counts")
         await asyncio.gather(*starts)
         if not await self.until(lambda told: told["watches"] >= whole):
             raise RuntimeError("not every ingress came to watch")
-        now = await self.discovery.ask("told")
+        now = await self.discovery.call("counts")
         self.cpu_starts = proc.cpu(self.discovery.pid) - before
         self.bytes_starts = now["sent"] - told["sent"]
 
     async def until(self, holds: Callable[[dict[str, Any]], bool], longest: float = 60.0) -> bool:
         loop = asyncio.get_running_loop()
         end = loop.time() + longest
-        while not holds(await self.discovery.ask("told")):
+        while not holds(await self.discovery.call("counts")):
             if loop.time() > end:
                 return False
             await asyncio.sleep(0.1)
@@ -68,7 +68,7 @@
         """S from `since` until that version was in force at each hollow one that has it within `longest`."""
         end = time.monotonic() + longest
         while True:
-            told = [t for crowd in self.crowds for t in await crowd.ask("in_force", version=version)]
+            told = [t for crowd in self.crowds for t in await crowd.call("in_force", version=version)]
             if len(told) >= self.size or time.monotonic() > end:
                 return sorted(t - since for t in told)
             await asyncio.sleep(0.1)
@@ -79,13 +79,13 @@
     await fleet.start()
     whole = size + REAL
     await asyncio.sleep(1.0)
-    told, pids = await fleet.discovery.ask("told"), {"d": fleet.discovery.pid, "c": fleet.counter.pid}
-    counted = await fleet.counter.ask("told")
+    told, pids = await fleet.discovery.call("counts"), {"d": fleet.discovery.pid, "c": fleet.counter.pid}
+    counted = await fleet.counter.call("counts")
     before = {name: proc.cpu(pid) for name, pid in pids.items()}
     idle = lab.options["idle"]
     await asyncio.sleep(idle)
     beats, pings = (proc.cpu(pids[n]) - before[n] for n in "dc")
-    pinged = (await fleet.counter.ask("told"))["pings"] - counted["pings"]
+    pinged = (await fleet.counter.call("counts"))["pings"] - counted["pings"]
     figures = {
         "discovery_cpu_idle_ms_per_s": beats / idle * 1e3,
         "counter_cpu_idle_ms_per_s": pings / idle * 1e3,
@@ -105,13 +105,13 @@
 
 async def _changes(fleet: Fleet, beats: float) -> Figures:
     """One backend a line, a line after another."""
-    lines, times, told = fleet.lab.option("lines"), [], await fleet.discovery.ask("told")
+    lines, times, told = fleet.lab.option("lines"), [], await fleet.discovery.call("counts")
     before, real = proc.cpu(fleet.discovery.pid), sum(r.cpu() for r in fleet.real)
     began = time.monotonic()
     versions = []
     for _ in range(lines):
         since = time.monotonic()
-        versions.append((await fleet.discovery.ask("change"), since))
+        versions.append((await fleet.discovery.call("change"), since))
         await asyncio.sleep(GAP)
     passed = time.monotonic() - began
     await asyncio.sleep(1.0)
@@ -119,7 +119,7 @@
     real = sum(r.cpu() for r in fleet.real) - real
     for version, since in versions:
         times += await fleet.in_force(version, since)
-    now = await fleet.discovery.ask("told")
+    now = await fleet.discovery.call("counts")
     times.sort()
     return {
         "discovery_cpu_change_us": spent / lines * 1e6,
@@ -134,7 +134,7 @@
 
 async def _zone(fleet: Fleet) -> Figures:
     before, since = proc.cpu(fleet.discovery.pid), time.monotonic()
-    version = await fleet.discovery.ask("lose", part=OUTAGE)
+    version = await fleet.discovery.call("remove", fraction=OUTAGE)
     times = await fleet.in_force(version, since)
     return {
         "discovery_cpu_zone_ms": (proc.cpu(fleet.discovery.pid) - before) * 1e3,
@@ -146,13 +146,15 @@
 async def _calls(fleet: Fleet, pings: float, whole: int) -> Figures:
     """Requests at each hollow one; how often it calls the counter is the module's own pacing."""
     lab, seconds = fleet.lab, fleet.lab.options["seconds"]
-    was, before, began = await fleet.counter.ask("told"), proc.cpu(fleet.counter.pid), time.monotonic()
+    was, before, began = await fleet.counter.call("counts"), proc.cpu(fleet.counter.pid), time.monotonic()
     much = {"rate": lab.option("rate"), "seconds": seconds}
     spread = min(lab.option("spread"), whole)
-    asks = [c.ask("requests", customers=lab.option("customers"), spread=spread, **much) for c in fleet.crowds]
+    asks = [
+        c.call("requests", customers=lab.option("customers"), spread=spread, **much) for c in fleet.crowds
+    ]
     got = await asyncio.gather(*asks)
     passed = time.monotonic() - began
-    now = await fleet.counter.ask("told")
+    now = await fleet.counter.call("counts")
     calls = now["adds"] - was["adds"]
     served, refused = (sum(g[n] for g in got) for n in ("served", "refused"))
     spent = proc.cpu(fleet.counter.pid) - before - pings * passed
@@ -171,21 +173,21 @@
     fleet = Fleet(lab, size)
     await fleet.start()
     whole = size + REAL
-    was = await fleet.discovery.ask("told")
-    await fleet.discovery.ask("limit", capacity=lab.option("capacity"))
+    was = await fleet.discovery.call("counts")
+    await fleet.discovery.call("set_capacity", capacity=lab.option("capacity"))
     before, since = proc.cpu(fleet.discovery.pid), time.monotonic()
-    version = await fleet.discovery.ask("change")
-    await fleet.discovery.ask("cut")
-    await fleet.discovery.ask("change")
+    version = await fleet.discovery.call("change")
+    await fleet.discovery.call("abort_watches")
+    await fleet.discovery.call("change")
     back = await fleet.until(lambda told: told["watches"] >= whole, longest=lab.option("longest"))
     passed = time.monotonic() - since
-    now = await fleet.discovery.ask("told")
+    now = await fleet.discovery.call("counts")
     times = await fleet.in_force(version + 1, since, longest=1.0)
     return {
         "back_s": passed,
         "back_n": float(back),
         "calls_each_n": (now["calls"] - was["calls"]) / whole,
-        "turned_away_n": float(now["turned_away"] - was["turned_away"]),
+        "turned_away_n": float(now["rejected"] - was["rejected"]),
         "lists_n": float(now["lists"] - was["lists"]),
         "discovery_cpu_ms": (proc.cpu(fleet.discovery.pid) - before) * 1e3,
         "sent_b": float(now["sent"] - was["sent"]),
--- a/ingress_testbed/experiments/lists.py
+++ b/ingress_testbed/experiments/lists.py
@@ -14,7 +14,7 @@
 
 async def module(lab: Lab, size: int) -> Figures:
     worker = await lab.worker(MODULE)
-    told: Figures = await worker.ask("backends", size=size, fleet_size=lab.option("fleet_size"))
+    told: Figures = await worker.call("backends", size=size, fleet_size=lab.option("fleet_size"))
     return told
 
 
@@ -26,7 +26,7 @@
     shape = Shape(fleet_size=lab.option("fleet_size"))
     ingress = await lab.ingress(shape, port, NOWHERE)
     await proc.rest(ingress.pid, longest=4.0 + size / 4000)
-    told = await discovery.ask("told")
+    told = await discovery.call("counts")
     taken = float(told["watches"] == 1 and told["lists"] == 1)
     figures = {"taken_n": taken, "lists_asked_n": float(told["lists"])}
     if taken:
@@ -36,25 +36,25 @@
         sent = told["sent"]
         await asyncio.sleep(6.0)
         spent, passed = ingress.cpu() - before, asyncio.get_running_loop().time() - at
-        told = await discovery.ask("told")
+        told = await discovery.call("counts")
         figures["cpu_futile_ms_per_s"] = spent / passed * 1e3
         figures["futile_b_per_s"] = (told["sent"] - sent) / passed
         await ingress.stop()
         known = [entry(n, NOWHERE) for n in range(size)]
-        ingress = await lab.ingress(shape, port, NOWHERE, known, told["index"])
+        ingress = await lab.ingress(shape, port, NOWHERE, known, told["version"])
         await proc.rest(ingress.pid)
         figures["cpu_start_known_ms"] = ingress.cpu() * 1e3
     figures["rss_mb"], figures["peak_mb"] = proc.memory(ingress.pid)
     for name, do, what, count in (
         ("change", "change", {"lines": CHANGES}, CHANGES),
-        ("zone", "lose", {"part": OUTAGE}, 1),
+        ("zone", "remove", {"fraction": OUTAGE}, 1),
     ):
-        before, sent = ingress.cpu(), (await discovery.ask("told"))["sent"]
-        await discovery.ask(do, **what)
+        before, sent = ingress.cpu(), (await discovery.call("counts"))["sent"]
+        await discovery.call(do, **what)
         await proc.rest(ingress.pid)
         spent = ingress.cpu() - before
         figures[f"cpu_{name}_ms"] = spent / count * 1e3
-        figures[f"{name}_b"] = ((await discovery.ask("told"))["sent"] - sent) / count
+        figures[f"{name}_b"] = ((await discovery.call("counts"))["sent"] - sent) / count
     figures["peak_after_mb"] = proc.memory(ingress.pid)[1]
     return figures
 
@@ -65,14 +65,14 @@
     ingress = await lab.ingress(Shape(fleet_size=lab.option("fleet_size")), port, NOWHERE)
     await proc.rest(ingress.pid)
     loop, seconds = asyncio.get_running_loop(), lab.option("seconds")
-    before, sent, began = ingress.cpu(), (await discovery.ask("told"))["sent"], loop.time()
+    before, sent, began = ingress.cpu(), (await discovery.call("counts"))["sent"], loop.time()
     for n in range(rate * seconds):
         await asyncio.sleep(max(0.0, began + n / rate - loop.time()))
-        await discovery.ask("change")
+        await discovery.call("change")
     await asyncio.sleep(max(0.0, began + seconds - loop.time()))
     await proc.rest(ingress.pid)
     passed = loop.time() - began
-    told = await discovery.ask("told")
+    told = await discovery.call("counts")
     return {
         "cpu_ms_per_s": (ingress.cpu() - before) / seconds * 1e3,
         "received_b_per_s": (told["sent"] - sent) / seconds,
--- a/ingress_testbed/experiments/quotas.py
+++ b/ingress_testbed/experiments/quotas.py
@@ -10,7 +10,7 @@
     """`size`: calls a second that the counter can answer."""
     worker = await lab.worker("ingress_testbed.quota_day:Host")
     sizes = {"fleet_size": lab.option("fleet_size"), "seconds": lab.option("seconds")}
-    told: Figures = await worker.ask("play", calls_per_s=size, seed=lab.seed, **sizes)
+    told: Figures = await worker.call("play", calls_per_s=size, seed=lab.seed, **sizes)
     return told
 
 
--- a/ingress_testbed/experiments/requests.py
+++ b/ingress_testbed/experiments/requests.py
@@ -30,19 +30,19 @@
     shape = Shape(fleet_size=lab.option("fleet_size"))
     ingress = await lab.ingress(shape, port, counting)
     await proc.rest(ingress.pid, longest=2.0)
-    clients = await lab.worker("ingress_testbed.load:Clients")
+    clients = await lab.worker("ingress_testbed.load:LoadHost")
     much = {"rate": rate, "customers": lab.option("customers"), "spread": lab.option("spread")}
-    await clients.ask("run", port=ingress.port, seconds=WARM, seed=lab.seed, **much)
+    await clients.call("run", port=ingress.port, seconds=WARM, seed=lab.seed, **much)
     idle = ingress.cpu()
     await asyncio.sleep(1.0)
     idle = ingress.cpu() - idle
-    before, was, counted = ingress.cpu(), await servers.ask("told"), await counter.ask("told")
+    before, was, counted = ingress.cpu(), await servers.call("counts"), await counter.call("counts")
     began, seconds = asyncio.get_running_loop().time(), lab.option("seconds")
-    told = await clients.ask("run", port=ingress.port, seconds=seconds, seed=lab.seed + 1, **much)
+    told = await clients.call("run", port=ingress.port, seconds=seconds, seed=lab.seed + 1, **much)
     passed = asyncio.get_running_loop().time() - began
     spent = ingress.cpu() - before - idle * passed
-    now, count = await servers.ask("told"), await counter.ask("told")
-    direct = await clients.ask("run", port=at, seconds=2.0, seed=lab.seed + 2, **much)
+    now, count = await servers.call("counts"), await counter.call("counts")
+    direct = await clients.call("run", port=at, seconds=2.0, seed=lab.seed + 2, **much)
     sent, rss = told["sent_n"], proc.memory(ingress.pid)[0]
     reached = max(1, now["served"] - was["served"])
     return {
@@ -59,7 +59,7 @@
         "counter_b_per_s": (count["received"] - counted["received"]) / passed,
         "new_connections_part": (now["opened"] - was["opened"]) / reached,
         "connections_open_n": float(now["open"]),
-        "most_at_a_backend_n": float(now["most_open"]),
+        "most_at_a_backend_n": float(now["max_open"]),
         "rss_mb": rss,
     }
 
--- a/ingress_testbed/experiments/tables.py
+++ b/ingress_testbed/experiments/tables.py
@@ -12,7 +12,7 @@
 
 async def customers(lab: Lab, size: int) -> Figures:
     worker = await lab.worker(MODULE)
-    told: Figures = await worker.ask(
+    told: Figures = await worker.call(
         "customers", size=size, spread=lab.option("spread"), fleet_size=lab.option("fleet_size")
     )
     return told
@@ -28,7 +28,7 @@
     discovery, port = await lab.discovery(lab.option("backends"), NOWHERE)
     ingress = await lab.ingress(Shape(lab.option("fleet_size"), classes=size), port, NOWHERE)
     await proc.rest(ingress.pid, longest=10.0)
-    if (await discovery.ask("told"))["lists"] != 1:
+    if (await discovery.call("counts"))["lists"] != 1:
         raise RuntimeError("the ingress does not take the list")
     rss, peak = proc.memory(ingress.pid)
     return {"rss_mb": rss, "peak_mb": peak, "cpu_start_ms": ingress.cpu() * 1e3}
@@ -42,7 +42,7 @@
 async def _module(lab: Lab, do: str, size: int) -> Figures:
     worker = await lab.worker(MODULE)
     sizes = {"backends": lab.option("backends"), "fleet_size": lab.option("fleet_size")}
-    told: Figures = await worker.ask(do, size=size, **sizes)
+    told: Figures = await worker.call(do, size=size, **sizes)
     await worker.stop()
     return told
 
--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -1,5 +1,7 @@
-"""Hollow ingresses, many to a process: the real watch, counter client, engine and module, with neither
-clients nor backends on sockets. Each applies changes and paces its calls as a real one does.
+"""Hollow ingresses, many to a process: real but for clients and backends, which are not on sockets.
+
+The watch, the counter's client, the engine and the policy are the real ones: each ingress applies changes and
+paces its calls as a real one does.
 """
 
 from __future__ import annotations
@@ -29,157 +31,237 @@
 from quota_ingress.policy.settings import Settings
 from quota_ingress.settings_codec import settings_from_json
 
-WORK = 0.005  # s until an attempt is answered
+ATTEMPT_LATENCY = 0.005  # s
+REQUEST_TIMEOUT_US = 3_000_000
+LAST_ANSWERS_TIME = 1.0  # s after the last request
+
+OnResult = Callable[[AttemptResult], None]
 
 
-class Attempt:
-    """An exchange that no socket carries."""
+class HollowExchange:
+    """An attempt that no socket carries: it is served after ATTEMPT_LATENCY."""
 
     written = True
 
-    def __init__(self, ended: Callable[[AttemptResult], None]) -> None:
-        self._timer = asyncio.get_running_loop().call_later(WORK, ended, AttemptResult(Outcome.OK))
+    def __init__(self, on_result: OnResult) -> None:
+        """Reports to `on_result`."""
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(ATTEMPT_LATENCY, on_result, AttemptResult(Outcome.OK))
 
     def abort(self) -> bool:
+        """Gives the attempt up. Returns that it may have run."""
         self._timer.cancel()
         return True
 
     def withdraw(self) -> bool:
+        """Returns that the attempt has been written already."""
         return False
 
 
 class HollowUpstream:
-    """Backends that answer all."""
+    """Backends that serve all."""
+
+    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
+        """Does nothing."""
 
-    def register_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
-    def reconcile(self, gone: Iterable[int]) -> None: ...
-    def close_idle_connections(self, backend: int) -> None: ...
+    def reconcile(self, gone: Iterable[int]) -> None:
+        """Does nothing."""
+
+    def close_idle_connections(self, backend: int) -> None:
+        """Does nothing."""
 
     def send(
         self,
         backend: int,
         head: bytes,
-        ended: Callable[[AttemptResult], None],
+        ended: OnResult,
         once: bool = False,
         body: Body | None = None,
-        started: Callable[[AttemptResult], None] | None = None,
+        started: OnResult | None = None,
         permit: Callable[[], bytes | None] = lambda: b"",
-    ) -> Attempt:
+    ) -> HollowExchange:
+        """Begins an attempt at once."""
         permit()
-        return Attempt(ended)
+        return HollowExchange(ended)
 
-    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None:
-        Attempt(ended)
+    def probe(self, backend: int, ended: OnResult) -> None:
+        """Answers a health check."""
+        HollowExchange(ended)
 
 
-class Client:
+class HollowClient:
     """Counts what the clients of one hollow ingress got."""
 
     def __init__(self) -> None:
-        self.served = self.refused = self.failed = 0
+        self.served = 0
+        self.refused = 0
+        self.failed = 0
 
     def respond(self, answer: AttemptResult) -> None:
+        """Counts an answer."""
         self.served += 1
 
     stream_response = respond
 
     def disconnected(self) -> bool:
+        """Returns that the client is still there."""
         return False
 
     def reject(self, retry_after: int) -> None:
+        """Counts a rejection."""
         self.refused += 1
 
     def fail(self, timed_out: bool) -> None:
+        """Counts a failure."""
         self.failed += 1
 
 
-class Hollow:
+class HollowIngress:
+    """One ingress without sockets for clients and backends.
+
+    Attributes:
+        in_force_at: By version of the list, when it was in force (monotonic clock).
+        client: Counts the answers.
+        watch: Its watch on the endpoint list.
+        counter: Its client of the counter.
+    """
+
     def __init__(
         self, settings: Settings, raw: dict[str, Any], discovery: tuple[str, int], counter: tuple[str, int]
     ) -> None:
-        loop, clock = asyncio.get_running_loop(), Clock()
-        self.seen: dict[int, float] = {}  # by version of the list, when it was in force (monotonic clock)
-        self.client, self._rng = Client(), random.Random(settings.gateway_index)
-        gateway = Gateway(settings, settings.gateway_index + 1)
-        index = SettingsIndex(settings, raw)
-        self.engine = Engine(gateway, settings, index, HollowUpstream(), loop, clock.now)
-        directory = self.engine.directory
-        self.maintenance = OperatorOverrides(clock.now, self.engine.update_endpoints, directory=directory)
+        """Opens no connection before `start`.
+
+        Args:
+            settings: The settings, with this ingress's number.
+            raw: The settings as JSON has them.
+            discovery: Host and port.
+            counter: Host and port.
+        """
+        clock = Clock()
+        self.in_force_at: dict[int, float] = {}
+        self.client = HollowClient()
+        self._rng = random.Random(settings.gateway_index)
+        self._memory = MemoryBudget()
+        self._last_number = 0
+        self._engine = Engine(
+            Gateway(settings, settings.gateway_index + 1),
+            settings,
+            SettingsIndex(settings, raw),
+            HollowUpstream(),
+            asyncio.get_running_loop(),
+            clock.now,
+        )
+        directory = self._engine.directory
+        self._overrides = OperatorOverrides(clock.now, self._engine.update_endpoints, directory=directory)
         self.counter = CounterClient(counter, settings.counter.timeout, settings.fleet_size)
-        self.engine.counter = self.counter
-        self.discovery = DiscoveryWatch(
-            discovery, None, self._listed, settings.fleet_size, directory=directory
+        self._engine.counter = self.counter
+        self.watch = DiscoveryWatch(
+            discovery, None, self._apply_list, settings.fleet_size, directory=directory
         )
-        self._room = MemoryBudget()
-        self._number = 0
 
     def start(self) -> None:
-        self.discovery.start()
+        """Connects to discovery and the counter."""
+        self.watch.start()
         self.counter.start()
 
-    def _listed(self, listing: EndpointList) -> None:
-        self.maintenance.apply_list(listing)
-        self.seen[listing.version] = time.monotonic()
-
-    async def asks(self, rate: float, seconds: float, customers: int, spread: int) -> None:
-        """Requests at drawn moments, straight into the engine."""
-        loop, settings = asyncio.get_running_loop(), self.engine.settings
-        due, end = loop.time(), loop.time() + seconds
+    def stop(self) -> None:
+        """Ends these connections."""
+        self.watch.stop()
+        self.counter.stop()
+
+    def in_force_since(self, version: int) -> float | None:
+        """Returns when that version or a later one was in force; None if none is yet."""
+        moments = (moment for known, moment in self.in_force_at.items() if known >= version)
+        return min(moments, default=None)
+
+    async def play(self, rate: float, seconds: float, customers: int, spread: int) -> None:
+        """Plays `rate` requests a second at drawn moments, straight into the engine."""
+        loop = asyncio.get_running_loop()
+        due = loop.time()
+        end = due + seconds
         while (due := due + self._rng.expovariate(rate)) < end:
             await asyncio.sleep(max(0.0, due - loop.time()))
-            self._number += 1
-            body = Body(self._room)
-            body.complete = True
-            wanted = ParsedRequest(
-                b"%x-%x" % (settings.gateway_index, self._number),
-                0,
-                0,
-                self._rng.randrange(customers),
-                1.0,
-                spread,
-                0,
-                3_000_000,
-                self.engine.now(),
-                False,
-                b"",
-                body,
-            )
-            self.engine.on_request(wanted, self.client)
-
-
-class Crowd:
-    """The worker's host: a part of the fleet."""
+            request = self._build_request(self._rng.randrange(customers), spread)
+            self._engine.on_request(request, self.client)
+
+    def _build_request(self, customer: int, spread: int) -> ParsedRequest:
+        self._last_number += 1
+        body = Body(self._memory)
+        body.complete = True
+        return ParsedRequest(
+            id=b"%x-%x" % (self._engine.settings.gateway_index, self._last_number),
+            request_class=0,
+            plan=0,
+            customer=customer,
+            units=1.0,
+            gateway_count=spread,
+            first_gateway=0,
+            timeout=REQUEST_TIMEOUT_US,
+            received_at=self._engine.now(),
+            is_retry=False,
+            head=b"",
+            body=body,
+        )
+
+    def _apply_list(self, endpoint_list: EndpointList) -> None:
+        self._overrides.apply_list(endpoint_list)
+        self.in_force_at[endpoint_list.version] = time.monotonic()
+
+
+class HollowFleet:
+    """A part of the fleet, in a worker."""
 
     def __init__(self) -> None:
-        self._all: list[Hollow] = []
+        self._ingresses: list[HollowIngress] = []
 
     async def start(
         self, first: int, count: int, fleet_size: int, discovery: list[Any], counter: int, pace: float
     ) -> int:
-        """Starts ingresses number `first` and on, `pace` s apart. Each calls the counter at an address of its
-        own, so that the counter, which holds so many connections of one, can tell them apart.
+        """Starts ingresses, and returns how many there are.
+
+        Each calls the counter at an address of its own, so that the counter, which holds so many connections
+        of one caller, can tell them apart.
+
+        Args:
+            first: Number of the first one.
+            count: How many to start.
+            fleet_size: Ingresses of the whole fleet, as the settings have it.
+            discovery: Host and port.
+            counter: The counter's port.
+            pace: Seconds between two starts.
         """
         raw = Shape(fleet_size=fleet_size).settings()
         settings = settings_from_json(json.dumps(raw).encode())
-        for me in range(first, first + count):
-            own = (address(me, counter).partition(":")[0], counter)
-            made = Hollow(dataclasses.replace(settings, gateway_index=me), raw, tuple(discovery), own)
-            self._all.append(made)
-            made.start()
+        for number in range(first, first + count):
+            counter_host, _, _ = address(number, counter).partition(":")
+            own_settings = dataclasses.replace(settings, gateway_index=number)
+            ingress = HollowIngress(own_settings, raw, tuple(discovery), (counter_host, counter))
+            self._ingresses.append(ingress)
+            ingress.start()
             await asyncio.sleep(pace)
-        return len(self._all)
+        return len(self._ingresses)
 
-    def in_force(self, version: int) -> list[float]:
-        """When each had that version, or a later one; a machine-wide clock. Missing ones are left out."""
-        return [t for h in self._all if (t := _first(h.seen, version)) is not None]
+    def stop(self) -> None:
+        """Ends all of them."""
+        for ingress in self._ingresses:
+            ingress.stop()
 
-    async def requests(self, rate: float, seconds: float, customers: int, spread: int) -> dict[str, int]:
-        """`rate` a second at each of them."""
-        await asyncio.gather(*(h.asks(rate, seconds, customers, spread) for h in self._all))
-        await asyncio.sleep(1.0)
-        clients = [h.client for h in self._all]
-        return {n: sum(getattr(c, n) for c in clients) for n in ("served", "refused", "failed")}
+    def in_force(self, version: int) -> list[float]:
+        """Returns when each had that version or a later one, by a clock of the whole machine.
 
+        Those that have none yet are left out.
+        """
+        moments = (ingress.in_force_since(version) for ingress in self._ingresses)
+        return [moment for moment in moments if moment is not None]
 
-def _first(seen: dict[int, float], version: int) -> float | None:
-    return min((at for index, at in seen.items() if index >= version), default=None)
+    async def requests(self, rate: float, seconds: float, customers: int, spread: int) -> dict[str, int]:
+        """Plays `rate` requests a second at each of them. Returns the answers by kind."""
+        plays = (ingress.play(rate, seconds, customers, spread) for ingress in self._ingresses)
+        await asyncio.gather(*plays)
+        await asyncio.sleep(LAST_ANSWERS_TIME)
+        clients = [ingress.client for ingress in self._ingresses]
+        return {
+            "served": sum(client.served for client in clients),
+            "refused": sum(client.refused for client in clients),
+            "failed": sum(client.failed for client in clients),
+        }
--- a/ingress_testbed/hosts.py
+++ b/ingress_testbed/hosts.py
@@ -1,4 +1,4 @@
-"""The stand-ins as workers' hosts: what a run asks of each."""
+"""The stand-ins as hosts in workers: what a run asks of each."""
 
 from __future__ import annotations
 
@@ -11,78 +11,99 @@
 
 
 class DiscoveryHost:
+    """A discovery, and the backends that it lists."""
+
     _discovery: DiscoveryServer
+    _rng: random.Random
+    _backends: int
+    _port: int
 
     async def start(self, backends: int, port: int, seed: int, capacity: float = 0.0) -> int:
-        """Lists that many backends at `port`; the port it listens on itself."""
-        entries = [entry(n, port) for n in range(backends)]
+        """Lists that many backends, each at `port` of its own address. Returns discovery's port."""
+        entries = [entry(number, port) for number in range(backends)]
         self._discovery = DiscoveryServer(entries, capacity=capacity)
-        self._rng, self._backends, self._port = random.Random(seed), backends, port
+        self._rng = random.Random(seed)
+        self._backends = backends
+        self._port = port
         await self._discovery.start()
         return self._discovery.port
 
     def change(self, lines: int = 1, each: int = 1) -> int:
-        """So many lines, each with so many backends that have restarted; the new version."""
+        """Sends so many lines, each with `each` restarted backends. Returns the new version."""
         for _ in range(lines):
             self._discovery.apply_change(restarts(self._rng, self._backends, each, self._port))
         return self._discovery.version
 
-    def lose(self, part: float) -> int:
-        """Takes that part of all backends off the list, in one line; the new version."""
-        gone = self._rng.sample(sorted(self._discovery.entries), round(part * self._backends))
-        return self._discovery.apply_change([{"name": name, "status": "removed"} for name in gone])
+    def remove(self, fraction: float) -> int:
+        """Takes that part of all backends off the list, in one line. Returns the new version."""
+        count = round(fraction * self._backends)
+        names = self._rng.sample(sorted(self._discovery.entries), count)
+        return self._discovery.apply_change([{"name": name, "status": "removed"} for name in names])
 
-    def limit(self, capacity: float) -> None:
+    def set_capacity(self, capacity: float) -> None:
+        """Limits the calls answered a second; 0 for any number."""
         self._discovery.capacity = capacity
 
-    def cut(self) -> None:
+    def abort_watches(self) -> None:
+        """Ends all watches at once."""
         self._discovery.abort_watches()
 
-    def told(self) -> dict[str, int]:
-        d = self._discovery
-        unsent = sum(w.transport.get_write_buffer_size() for w in d.watches)
+    def counts(self) -> dict[str, int]:
+        """Returns what has been counted so far."""
+        discovery = self._discovery
         return {
-            "watches": len(d.watches),
-            "sent": d.bytes_sent,
-            "told": d.lines_sent,
-            "lists": d.snapshots_sent,
-            "calls": d.call_count,
-            "turned_away": d.rejected_calls,
-            "unsent": unsent,
-            "index": d.version,
+            "watches": len(discovery.watches),
+            "sent": discovery.bytes_sent,
+            "lines": discovery.lines_sent,
+            "lists": discovery.snapshots_sent,
+            "calls": discovery.call_count,
+            "rejected": discovery.rejected_calls,
+            "unsent": sum(watch.transport.get_write_buffer_size() for watch in discovery.watches),
+            "version": discovery.version,
         }
 
 
 class CounterHost:
+    """A counter."""
+
     _counter: CounterServer
 
-    async def start(self, parts: int = 1, capacity: float = 0.0) -> int:
-        self._counter = CounterServer(parts, capacity)
+    async def start(self, partitions: int = 1, capacity: float = 0.0) -> int:
+        """Returns the counter's port."""
+        self._counter = CounterServer(partitions, capacity)
         await self._counter.start()
         return self._counter.port
 
-    def told(self) -> dict[str, int]:
-        c = self._counter
-        names = sum(len(p.totals) for p in c.partitions)
+    def counts(self) -> dict[str, int]:
+        """Returns what has been counted so far."""
+        counter = self._counter
         return {
-            "connections": len(c.connections),
-            "adds": c.add_count,
-            "pings": c.ping_count,
-            "busy": c.busy_count,
-            "received": c.bytes_received,
-            "names": names,
+            "connections": len(counter.connections),
+            "adds": counter.add_count,
+            "pings": counter.ping_count,
+            "busy": counter.busy_count,
+            "received": counter.bytes_received,
+            "names": sum(len(partition.totals) for partition in counter.partitions),
         }
 
 
 class BackendsHost:
+    """Backends, as many as are called."""
+
     _backends: BackendServer
 
     async def start(self, work: float = 0.0) -> int:
+        """Answers each request `work` seconds after it came. Returns the backends' port."""
         self._backends = BackendServer(work)
         await self._backends.start()
         return self._backends.port
 
-    def told(self) -> dict[str, int]:
-        b = self._backends
-        held = len(b.connections)
-        return {"served": b.served, "opened": b.opened, "open": held, "most_open": b.max_open}
+    def counts(self) -> dict[str, int]:
+        """Returns what has been counted so far."""
+        backends = self._backends
+        return {
+            "served": backends.served,
+            "opened": backends.opened,
+            "open": len(backends.connections),
+            "max_open": backends.max_open,
+        }
--- a/ingress_testbed/load.py
+++ b/ingress_testbed/load.py
@@ -5,139 +5,229 @@
 import asyncio
 import random
 import time
-from collections import Counter as Tally
+from collections import Counter
+from dataclasses import dataclass
 
 from ingress_testbed.standins.sockets import Connection
 
-LATE = 5.0  # s after the last request in which answers may come
-KEPT = 1.5  # s that a connection may have stood idle and still be used: the other side closes it after 2
+LEAD_TIME = 0.05  # s before the first request may be due
+ANSWER_TIMEOUT = 5.0  # s after the last request in which answers may come
+POLL_INTERVAL = 0.02  # s
+MAX_IDLE_TIME = 1.5  # s after which a connection is not reused: the other side closes it after 2
+NO_ANSWER = 0  # stands for the status where no complete answer came
+FIRST_NUMBER_SHIFT = 16  # bits of a request's number that count the requests of one run
+HOST_HEADER = "app.svc"
 
 
-def request(number: int, customer: int, spread: int, route: int, host: str) -> bytes:
+def build_request(number: int, customer: int, spread: int, route: int) -> bytes:
+    """Returns a request as the protocol page has it."""
     return (
-        f"GET /route-{route}/x HTTP/1.1\r\nHost: {host}\r\nRequest-Id: {number:016x}\r\nX-Plan: plan-0\r\n"
-        f"Cookie: customer={customer:016x}\r\nRequest-Timeout: 3000m\r\n"
+        f"GET /route-{route}/x HTTP/1.1\r\nHost: {HOST_HEADER}\r\nRequest-Id: {number:016x}\r\n"
+        f"X-Plan: plan-0\r\nCookie: customer={customer:016x}\r\nRequest-Timeout: 3000m\r\n"
         f"X-Quota: units=1,spread={spread},first=0\r\n\r\n"
     ).encode()
 
 
-class Link(Connection):
-    def __init__(self, load: Load) -> None:
-        self._load, self._data = load, b""
-        self.asked: tuple[float, bytes] | None = None
+@dataclass(frozen=True, slots=True)
+class PendingRequest:
+    """A request that has been sent and not answered.
+
+    Attributes:
+        due: When it was to be sent, in seconds of the loop's clock.
+        data: Its bytes.
+    """
+
+    due: float
+    data: bytes
+
+
+class LoadConnection(Connection):
+    """A connection to the ingress, with one request at a time.
+
+    Attributes:
+        pending: The request whose answer is to come.
+        idle_since: Seconds of the loop's clock.
+    """
+
+    def __init__(self, generator: LoadGenerator) -> None:
+        """Reports answers to `generator`."""
+        self.pending: PendingRequest | None = None
         self.idle_since = 0.0
+        self._generator = generator
+        self._unread = b""
 
-    def ask(self, due: float, data: bytes) -> None:
-        self.asked = (due, data)
-        self.transport.write(data)
+    def send(self, request: PendingRequest) -> None:
+        """Sends a request on an idle connection."""
+        self.pending = request
+        self.transport.write(request.data)
 
     def data_received(self, data: bytes) -> None:
-        self._data += data
-        head, end, rest = self._data.partition(b"\r\n\r\n")
-        if not end:
+        """Takes an answer once it is complete."""
+        self._unread += data
+        head, separator, rest = self._unread.partition(b"\r\n\r\n")
+        if not separator:
             return
-        length = int(head.lower().partition(b"\r\ncontent-length:")[2].partition(b"\r\n")[0] or 0)
-        if len(rest) < length or not self.asked:
+        lowercase_head = head.lower()
+        length = _content_length(lowercase_head)
+        request = self.pending
+        if len(rest) < length or not request:
             return
-        self._data, (due, _), self.asked = rest[length:], self.asked, None
-        self._load.answered(int(head.split(b" ", 2)[1]), due)
+        self._unread = rest[length:]
+        self.pending = None
+        self._generator.on_answer(_status(head), request.due)
         self.idle_since = asyncio.get_running_loop().time()
-        if b"\r\nconnection: close" in head.lower():
+        if b"\r\nconnection: close" in lowercase_head:
             self.transport.close()
         else:
-            self._load.idle.append(self)
+            self._generator.idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self in self._load.idle:
-            self._load.idle.remove(self)
-        if self.asked:
-            due, data = self.asked
-            self._load.broken(due, data, began=bool(self._data))
+        """Reports a request that was not answered."""
+        if self in self._generator.idle:
+            self._generator.idle.remove(self)
+        if self.pending:
+            self._generator.on_disconnect(self.pending, has_begun=bool(self._unread))
+
 
+class LoadGenerator:
+    """The clients of one run.
 
-class Load:
-    """One run. `latencies`: s from the moment a request was due to its answer's last byte."""
+    Attributes:
+        idle: Connections that may be reused.
+        latencies: Seconds from the moment a request was due to its answer's last byte, of those served.
+        statuses: Answers by their status, or NO_ANSWER.
+        opened: Connections that were made.
+    """
 
     def __init__(self, host: str, port: int) -> None:
-        self._address = (host, port)
-        self.idle: list[Link] = []
+        """Sends to that address."""
+        self.idle: list[LoadConnection] = []
         self.latencies: list[float] = []
-        self.statuses: Tally[int] = Tally()  # 0: no whole answer
+        self.statuses: Counter[int] = Counter()
         self.opened = 0
-        self._again: set[bytes] = set()
+        self._address = (host, port)
+        self._resent: set[bytes] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(
         self, rate: float, seconds: float, seed: int, customers: int, spread: int, routes: int
     ) -> dict[str, float]:
-        """Latencies in ms, counts of answers by kind. Customers are drawn, each as likely as the others."""
-        rng, loop = random.Random(seed), asyncio.get_running_loop()
-        due, end, number = loop.time() + 0.05, loop.time() + 0.05 + seconds, rng.getrandbits(48) << 16
-        used = time.process_time()
+        """Sends requests and waits for their answers.
+
+        Args:
+            rate: Requests a second, in the mean.
+            seconds: How long requests are sent.
+            seed: Of the draws of moments, customers and routes.
+            customers: Their number; each is as likely as the others.
+            spread: Ingresses that a customer comes through.
+            routes: Number of the request's classes.
+
+        Returns:
+            Figures: latencies in ms, counts of answers by kind.
+        """
+        cpu_before = time.process_time()
+        sent = await self._send_requests(rate, seconds, seed, customers, spread, routes)
+        await self._wait_for_answers(sent)
+        for connection in self.idle[:]:
+            connection.transport.close()
+        cpu = time.process_time() - cpu_before
+        return self._figures(sent, cpu)
+
+    async def _send_requests(
+        self, rate: float, seconds: float, seed: int, customers: int, spread: int, routes: int
+    ) -> int:
+        """Sends all requests at their moments, and returns their number."""
+        rng = random.Random(seed)
+        loop = asyncio.get_running_loop()
+        due = loop.time() + LEAD_TIME
+        end = due + seconds
+        first_number = rng.getrandbits(48) << FIRST_NUMBER_SHIFT
+        sent = 0
         while (due := due + rng.expovariate(rate)) < end:
-            number += 1
-            data = request(number, rng.randrange(customers), spread, rng.randrange(routes), "app.svc")
+            sent += 1
+            data = build_request(first_number + sent, rng.randrange(customers), spread, rng.randrange(routes))
             if (wait := due - loop.time()) > 0:
                 await asyncio.sleep(wait)
-            self._send(due, data)
-        last = loop.time() + LATE
-        sent = number & 0xFFFF
-        while sum(self.statuses.values()) < sent and loop.time() < last:
-            await asyncio.sleep(0.02)
-        for link in self.idle[:]:
-            link.transport.close()
+            self._send(PendingRequest(due, data))
+        return sent
+
+    async def _wait_for_answers(self, sent: int) -> None:
+        loop = asyncio.get_running_loop()
+        end = loop.time() + ANSWER_TIMEOUT
+        while sum(self.statuses.values()) < sent and loop.time() < end:
+            await asyncio.sleep(POLL_INTERVAL)
+
+    def _figures(self, sent: int, cpu_seconds: float) -> dict[str, float]:
         ordered = sorted(self.latencies) or [0.0]
+        p99_index = min(len(ordered) - 1, len(ordered) * 99 // 100)
         return {
             "sent_n": float(sent),
             "served_n": float(self.statuses[200]),
             "refused_n": float(self.statuses[429] + self.statuses[503]),
-            "unanswered_n": float(self.statuses[0]),
+            "unanswered_n": float(self.statuses[NO_ANSWER]),
             "opened_n": float(self.opened),
             "p50_ms": ordered[len(ordered) // 2] * 1e3,
-            "p99_ms": ordered[min(len(ordered) - 1, len(ordered) * 99 // 100)] * 1e3,
-            "client_cpu_us": (time.process_time() - used) / max(1, sent) * 1e6,
+            "p99_ms": ordered[p99_index] * 1e3,
+            "client_cpu_us": cpu_seconds / max(1, sent) * 1e6,
         }
 
-    def answered(self, status: int, due: float) -> None:
+    def on_answer(self, status: int, due: float) -> None:
+        """Counts an answer to the request that was due then."""
         self.statuses[status] += 1
         if status == 200:
             self.latencies.append(asyncio.get_running_loop().time() - due)
 
-    def broken(self, due: float, data: bytes, began: bool) -> None:
-        """A close that crossed the request: it is sent once more, on a new connection."""
-        if began or data in self._again:
-            self.statuses[0] += 1
+    def on_disconnect(self, request: PendingRequest, has_begun: bool) -> None:
+        """Sends a request once more, on a new connection, if a close has crossed it.
+
+        Args:
+            request: The request that was not answered.
+            has_begun: Whether some of its answer had come: then it is not sent again.
+        """
+        if has_begun or request.data in self._resent:
+            self.statuses[NO_ANSWER] += 1
             return
-        self._again.add(data)
-        self._open(due, data)
+        self._resent.add(request.data)
+        self._send_on_new_connection(request)
 
-    def _send(self, due: float, data: bytes) -> None:
-        oldest = asyncio.get_running_loop().time() - KEPT
+    def _send(self, request: PendingRequest) -> None:
+        oldest = asyncio.get_running_loop().time() - MAX_IDLE_TIME
         while self.idle:
-            link = self.idle.pop()
-            if link.idle_since > oldest and not link.transport.is_closing():
-                link.ask(due, data)
+            connection = self.idle.pop()
+            if connection.idle_since > oldest and not connection.transport.is_closing():
+                connection.send(request)
                 return
-            link.transport.close()
-        self._open(due, data)
+            connection.transport.close()
+        self._send_on_new_connection(request)
 
-    def _open(self, due: float, data: bytes) -> None:
-        task = asyncio.get_running_loop().create_task(self._dial(due, data))
+    def _send_on_new_connection(self, request: PendingRequest) -> None:
+        task = asyncio.get_running_loop().create_task(self._connect_and_send(request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, due: float, data: bytes) -> None:
+    async def _connect_and_send(self, request: PendingRequest) -> None:
         self.opened += 1
+        loop = asyncio.get_running_loop()
         try:
-            _, link = await asyncio.get_running_loop().create_connection(lambda: Link(self), *self._address)
+            _, connection = await loop.create_connection(lambda: LoadConnection(self), *self._address)
         except OSError:
-            self.statuses[0] += 1
+            self.statuses[NO_ANSWER] += 1
             return
-        link.ask(due, data)
+        connection.send(request)
+
+
+def _content_length(lowercase_head: bytes) -> int:
+    _, _, rest = lowercase_head.partition(b"\r\ncontent-length:")
+    value, _, _ = rest.partition(b"\r\n")
+    return int(value or 0)
+
+
+def _status(head: bytes) -> int:
+    return int(head.split(b" ", 2)[1])
 
 
-class Clients:
-    """The worker's host."""
+class LoadHost:
+    """The clients in a worker."""
 
     async def run(
         self,
@@ -150,4 +240,5 @@
         spread: int = 1,
         routes: int = 3,
     ) -> dict[str, float]:
-        return await Load(host, port).run(rate, seconds, seed, customers, spread, routes)
+        """Plays one run; see `LoadGenerator.run`."""
+        return await LoadGenerator(host, port).run(rate, seconds, seed, customers, spread, routes)
--- a/ingress_testbed/probe.py
+++ b/ingress_testbed/probe.py
@@ -1,4 +1,4 @@
-"""The module alone, in a process of its own: what lists, customers, classes and plans cost it."""
+"""The policy alone, in a process of its own: what lists, customers, classes and plans cost it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 import os
 import time
 from collections.abc import Callable
-from typing import Any
 
 from ingress_testbed import proc
 from ingress_testbed.model import OUTAGE, Shape, entry
@@ -26,64 +25,98 @@
 from quota_ingress.policy.settings import Settings
 from quota_ingress.settings_codec import settings_from_json
 
-SECOND = 1_000_000
-REQUESTS = 1000
-
-
-def used(work: Callable[[], Any]) -> float:
-    """S of this process's CPU."""
+SECOND = 1_000_000  # us
+REQUESTS = 1000  # over which the cost of one is averaged
+MIN_REQUESTS = 20
+MAX_REQUEST_CLASSES = 2_000_000  # requests times classes that are played at most
+CHANGES = 20  # over which the cost of one is averaged
+REQUEST_TIMEOUT = 3 * SECOND
+ATTEMPT_LATENCY = 9000  # us
+COUNTER_LATENCY = 500  # us
+SWEEP_TIMER = -1  # the policy's timer that drops idle customers
+ENDPOINTS_FOR_CUSTOMERS = 24
+ZONES = 27
+GROUPS = 8
+
+
+def cpu_of(work: Callable[[], object]) -> float:
+    """Returns the seconds of this process's CPU that `work` takes."""
     start = time.process_time()
     work()
     return time.process_time() - start
 
 
-def resident() -> float:
+def resident_memory() -> float:
+    """Returns the MB of memory that this process holds."""
     gc.collect()
-    return proc.memory(os.getpid())[0]
-
-
-def listed(numbers: range, kind: ListKind, started: int = 0, gone: bool = False) -> EndpointsListed:
-    state = EndpointState.REMOVED if gone else EndpointState.READY
-    boxes = (ListedEndpoint(n + 1, state, n % 27, n % 8, 0, 1.0, started, n + 1) for n in numbers)
-    return EndpointsListed(kind, 1, tuple(boxes))
-
-
-def served(gateway: Gateway, now: int, customers: range, spread: int = 1, classes: int = 1) -> None:
-    """A request of each, its calls answered and its attempt served at once; one that is to wait for its turn
-    at the counter is given up by its client, so that only what the customer leaves behind is held.
+    resident, _ = proc.memory(os.getpid())
+    return resident
+
+
+def build_list(
+    numbers: range, kind: ListKind, started_at: int = 0, is_removed: bool = False
+) -> EndpointsListed:
+    """Returns the event that lists the endpoints of these numbers."""
+    state = EndpointState.REMOVED if is_removed else EndpointState.READY
+    endpoints = tuple(
+        ListedEndpoint(
+            id=number + 1,
+            state=state,
+            zone=number % ZONES,
+            cell=number % GROUPS,
+            kind=0,
+            weight=1.0,
+            started_at=started_at,
+            hash_key=number + 1,
+        )
+        for number in numbers
+    )
+    return EndpointsListed(kind, 1, endpoints)
+
+
+def play_requests(gateway: Gateway, now: int, customers: range, spread: int = 1, classes: int = 1) -> None:
+    """Plays a request of each customer: its calls are answered and its attempt is served at once.
+
+    A request that would wait for its turn at the counter is given up by its client, so that only what the
+    customer leaves behind is held.
     """
-    for n in customers:
-        event = RequestArrived(now + n, n % classes, 0, n, 1.0, 3 * SECOND, gateway_count=spread)
-        todo = gateway.handle(now + n, event)
-        while todo:
-            action = todo.pop(0)
+    for number in customers:
+        moment = now + number
+        event = RequestArrived(
+            moment, number % classes, 0, number, 1.0, REQUEST_TIMEOUT, gateway_count=spread
+        )
+        actions = gateway.handle(moment, event)
+        while actions:
+            action = actions.pop(0)
             if isinstance(action, SendAttempt):
-                outcome = AttemptEnded(action.request, 0, action.endpoint, Outcome.OK, 9000, True)
-                todo += gateway.handle(now + n, outcome)
+                served = AttemptEnded(action.request, 0, action.endpoint, Outcome.OK, ATTEMPT_LATENCY, True)
+                actions += gateway.handle(moment, served)
             elif isinstance(action, AddToCounter):
-                answer = CounterAnswered(action.name, Outcome.OK, action.amount, 500)
-                todo += gateway.handle(now + n, answer)
-        gateway.handle(now + n, ClientDisconnected(now + n))
+                answer = CounterAnswered(action.name, Outcome.OK, action.amount, COUNTER_LATENCY)
+                actions += gateway.handle(moment, answer)
+        gateway.handle(moment, ClientDisconnected(moment))
 
 
 class Probe:
-    """The worker's host. Each method is asked once in a fresh process; memory is what it grew by."""
+    """A policy in a worker. Each method is called once in a fresh process; memory is what it grew by."""
 
     def backends(self, size: int, fleet_size: int) -> dict[str, float]:
+        """Returns what a list of `size` endpoints costs."""
+        document = {"index": 1, "snapshot": True, "endpoints": [entry(n, 7070) for n in range(size)]}
+        text = json.dumps(document, separators=(",", ":"))
+        del document
         settings = _settings(Shape(fleet_size=fleet_size))
-        raw = {"index": 1, "snapshot": True, "endpoints": [entry(n, 7070) for n in range(size)]}
-        text = json.dumps(raw, separators=(",", ":"))
-        del raw
-        before = resident()
-        read = used(lambda: decode_endpoint_list(json.loads(text)))
-        gateway, events = Gateway(settings, 1), listed(range(size), ListKind.FULL)
-        whole = used(lambda: gateway.handle(0, events))
-        changes = [listed(range(n, n + 1), ListKind.DELTA, started=SECOND + n) for n in range(20)]
-        change = used(lambda: [gateway.handle(2 * SECOND, c) for c in changes]) / len(changes)
-        request = used(lambda: served(gateway, 60 * SECOND, range(REQUESTS))) / REQUESTS
-        own = len(getattr(gateway.endpoints, "preferred", ()))
-        lost = listed(range(round(OUTAGE * size)), ListKind.DELTA, gone=True)
-        zone = used(lambda: gateway.handle(90 * SECOND, lost))
+        before = resident_memory()
+        read = cpu_of(lambda: decode_endpoint_list(json.loads(text)))
+        gateway = Gateway(settings, 1)
+        snapshot = build_list(range(size), ListKind.FULL)
+        whole = cpu_of(lambda: gateway.handle(0, snapshot))
+        changes = [build_list(range(n, n + 1), ListKind.DELTA, SECOND + n) for n in range(CHANGES)]
+        change = cpu_of(lambda: [gateway.handle(2 * SECOND, event) for event in changes]) / CHANGES
+        request = cpu_of(lambda: play_requests(gateway, 60 * SECOND, range(REQUESTS))) / REQUESTS
+        preferred = len(getattr(gateway.endpoints, "preferred", ()))
+        lost_zone = build_list(range(round(OUTAGE * size)), ListKind.DELTA, is_removed=True)
+        zone = cpu_of(lambda: gateway.handle(90 * SECOND, lost_zone))
         return {
             "list_b": float(len(text)),
             "cpu_read_ms": read * 1e3,
@@ -91,19 +124,20 @@
             "cpu_change_ms": change * 1e3,
             "cpu_zone_ms": zone * 1e3,
             "cpu_request_us": request * 1e6,
-            "own_part_n": float(own),
-            "grown_mb": resident() - before,
+            "own_part_n": float(preferred),
+            "grown_mb": resident_memory() - before,
         }
 
     def customers(self, size: int, spread: int, fleet_size: int) -> dict[str, float]:
+        """Returns what `size` customers cost."""
         gateway = Gateway(_settings(Shape(fleet_size=fleet_size)), 1)
-        gateway.handle(0, listed(range(24), ListKind.FULL))
-        before = resident()
-        first = used(lambda: served(gateway, 2 * SECOND, range(size), spread)) / size
+        gateway.handle(0, build_list(range(ENDPOINTS_FOR_CUSTOMERS), ListKind.FULL))
+        before = resident_memory()
+        first = cpu_of(lambda: play_requests(gateway, 2 * SECOND, range(size), spread)) / size
         held = float(len(gateway.admission.customers))
-        grown = resident() - before
-        again = used(lambda: served(gateway, 3 * SECOND, range(REQUESTS), spread)) / REQUESTS
-        sweep = used(lambda: gateway.handle(5 * SECOND, TimerFired(-1)))
+        grown = resident_memory() - before
+        again = cpu_of(lambda: play_requests(gateway, 3 * SECOND, range(REQUESTS), spread)) / REQUESTS
+        sweep = cpu_of(lambda: gateway.handle(5 * SECOND, TimerFired(SWEEP_TIMER)))
         return {
             "held_n": held,
             "grown_mb": grown,
@@ -113,30 +147,32 @@
         }
 
     def classes(self, size: int, backends: int, fleet_size: int) -> dict[str, float]:
-        """Requests are spread over all classes."""
+        """Returns what `size` classes cost; requests are spread over all of them."""
         return self._tables(Shape(fleet_size=fleet_size, classes=size), backends)
 
     def plans(self, size: int, backends: int, fleet_size: int) -> dict[str, float]:
+        """Returns what `size` plans cost."""
         return self._tables(Shape(fleet_size=fleet_size, plans=size), backends)
 
     def _tables(self, shape: Shape, backends: int) -> dict[str, float]:
+        """Returns what the settings' tables cost."""
         text = json.dumps(shape.settings()).encode()
-        before = resident()
-        found: list[Settings] = []
-        read = used(lambda: found.append(settings_from_json(text)))
-        tables = resident() - before
-        gateway = Gateway(found[0], 1)
-        listing = listed(range(backends), ListKind.FULL)
-        whole = used(lambda: gateway.handle(0, listing))
-        count = min(REQUESTS, max(20, 2_000_000 // shape.classes))
-        request = used(lambda: served(gateway, 2 * SECOND, range(count), classes=shape.classes)) / count
+        before = resident_memory()
+        decoded: list[Settings] = []
+        read = cpu_of(lambda: decoded.append(settings_from_json(text)))
+        tables = resident_memory() - before
+        gateway = Gateway(decoded[0], 1)
+        snapshot = build_list(range(backends), ListKind.FULL)
+        whole = cpu_of(lambda: gateway.handle(0, snapshot))
+        count = min(REQUESTS, max(MIN_REQUESTS, MAX_REQUEST_CLASSES // shape.classes))
+        requests = cpu_of(lambda: play_requests(gateway, 2 * SECOND, range(count), classes=shape.classes))
         return {
             "settings_b": float(len(text)),
             "cpu_read_ms": read * 1e3,
             "tables_mb": tables,
             "cpu_list_ms": whole * 1e3,
-            "grown_mb": resident() - before,
-            "cpu_request_us": request * 1e6,
+            "grown_mb": resident_memory() - before,
+            "cpu_request_us": requests / count * 1e6,
         }
 
 
--- a/ingress_testbed/real.py
+++ b/ingress_testbed/real.py
@@ -7,14 +7,20 @@
 import os
 import signal
 import sys
-from collections import Counter as Tally
+from collections import Counter
 from pathlib import Path
 from typing import Any
 
 from ingress_testbed import proc
 
-READY = 90.0  # s for a process to listen
+START_TIMEOUT = 90.0  # s
 PACKAGES = ("quota_ingress", "ironledge")  # the program's package, by today's name and that of commits before
+LISTENING_MARK = "listening on "  # of the log line that ends with the port
+MAX_MESSAGE_LENGTH = 60  # characters of a log line by which it is counted
+
+
+class IngressStartError(RuntimeError):
+    """The ingress ended before it listened."""
 
 
 def package_of(program: Path) -> str:
@@ -29,16 +35,34 @@
     raise FileNotFoundError(f"no program in {program}")
 
 
-class Ingress:
+class IngressProcess:
+    """The process of a real ingress.
+
+    Attributes:
+        pid: Its process id.
+        port: Where it listens for clients, once it does.
+        log_counts: Lines of its log, counted by their message.
+    """
+
     def __init__(self, process: asyncio.subprocess.Process, config: Path) -> None:
-        self._process, self._config = process, config
-        self.pid, self.port = process.pid, 0
-        self.lines: Tally[str] = Tally()  # of its log, without what differs from one to the next
-        self._log: asyncio.Task[None] | None = None
+        """Wraps a process that was started with the file `config`."""
+        self.pid = process.pid
+        self.port = 0
+        self.log_counts: Counter[str] = Counter()
+        self._process = process
+        self._config = config
+        self._log_reader: asyncio.Task[None] | None = None
 
     @classmethod
-    async def start(cls, program: Path, config: dict[str, Any], folder: Path, env: dict[str, str]) -> Ingress:
-        """Returns once it listens; RuntimeError if it ends or does not come up."""
+    async def start(
+        cls, program: Path, config: dict[str, Any], folder: Path, env: dict[str, str]
+    ) -> IngressProcess:
+        """Starts an ingress, and returns once it listens.
+
+        Raises:
+            IngressStartError: It ended.
+            TimeoutError: It does not listen within START_TIMEOUT.
+        """
         path = folder / f"{config['name']}-{os.urandom(4).hex()}.json"
         path.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
@@ -50,45 +74,52 @@
             stderr=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
-        made = cls(process, path)
+        ingress = cls(process, path)
         try:
-            async with asyncio.timeout(READY):
-                await made._listening()
+            async with asyncio.timeout(START_TIMEOUT):
+                await ingress._wait_until_listening()
         except BaseException:
-            await made.stop()
+            await ingress.stop()
             raise
-        made._log = asyncio.create_task(made._follow())
-        return made
-
-    async def _listening(self) -> None:
-        assert self._process.stderr
-        while line := (await self._process.stderr.readline()).decode():
-            self._count(line)
-            if "listening on " in line:
-                self.port = int(line.rpartition(":")[2])
-                return
-        raise RuntimeError(f"the ingress ended: {', '.join(self.lines) or 'nothing in its log'}")
-
-    async def _follow(self) -> None:
-        assert self._process.stderr
-        while line := (await self._process.stderr.readline()).decode():
-            self._count(line)
-
-    def _count(self, line: str) -> None:
-        self.lines[line.strip().partition(": ")[2][:60] or line.strip()[:60]] += 1
+        ingress._log_reader = asyncio.create_task(ingress._read_log())
+        return ingress
 
     def cpu(self) -> float:
+        """Returns the seconds of CPU that it has used."""
         return proc.cpu(self.pid)
 
     def reload(self, config: dict[str, Any]) -> None:
-        """The configuration replaced, and SIGHUP."""
+        """Replaces its configuration, and sends SIGHUP."""
         self._config.write_text(json.dumps(config))
         self._process.send_signal(signal.SIGHUP)
 
     async def stop(self) -> None:
-        if self._log:
-            self._log.cancel()
+        """Kills it."""
+        if self._log_reader:
+            self._log_reader.cancel()
         if self._process.returncode is None:
             self._process.kill()
         await self._process.wait()
         self._config.unlink(missing_ok=True)
+
+    async def _wait_until_listening(self) -> None:
+        while line := await self._read_line():
+            self._count(line)
+            if LISTENING_MARK in line:
+                self.port = int(line.rpartition(":")[2])
+                return
+        log = ", ".join(self.log_counts) or "nothing in its log"
+        raise IngressStartError(f"the ingress ended: {log}")
+
+    async def _read_log(self) -> None:
+        while line := await self._read_line():
+            self._count(line)
+
+    async def _read_line(self) -> str:
+        assert self._process.stderr
+        return (await self._process.stderr.readline()).decode()
+
+    def _count(self, line: str) -> None:
+        text = line.strip()
+        message = text.partition(": ")[2][:MAX_MESSAGE_LENGTH]
+        self.log_counts[message or text[:MAX_MESSAGE_LENGTH]] += 1
--- a/ingress_testbed/slopes.py
+++ b/ingress_testbed/slopes.py
@@ -1,24 +1,44 @@
-"""A straight line through what was measured at three sizes or more, with its error and a word on the fit."""
+"""A straight line through measurements at three sizes or more, with its error and a verdict on the fit."""
 
 from __future__ import annotations
 
+import math
 import statistics
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import msgspec
 import numpy as np
 
-LEAST_SIZES = 3
-BENT = 0.35  # of it, beyond the scatter: a slope that changes by more between the sizes is no one slope
-NOTHING = 0.05  # of the mean: a rise over all the sizes that is no more is none
-WIDE = 0.5  # of the mean: values that lie further apart hide what a slope would be
-OFF = 0.2  # of what the figure spans, beyond the scatter: a size further off is not on the line
-VAGUE = 0.25  # of the slope: an error over that, and the slope is no more than an order of magnitude
+MIN_SIZES = 3
+MAX_BEND = 0.35  # part of the slope by which it may change between the sizes, beyond the scatter
+MIN_RISE = 0.05  # part of the mean: a smaller rise over all the sizes is none
+MAX_FLAT_SPREAD = 0.5  # part of the mean: values further apart hide what a slope would be
+MAX_OFFSET = 0.2  # part of the figure's span by which a size may lie off the line, beyond the scatter
+MAX_RELATIVE_ERROR = 0.25  # part of the slope
+SIGNIFICANCE = 2  # standard errors
+
+FIT_LINE = "line"
+FIT_FLAT = "flat"
+FIT_POOR = "poor"
+
+Measurement = tuple[float, float]  # size and figure
+
+
+class TooFewSizesError(ValueError):
+    """A slope needs measurements at more sizes."""
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """figure = intercept + slope * size. `error` is the slope's standard error. `fit`: `line`; `flat` (no
-    growth to speak of, or none that stands out from a small scatter); or `poor`, and `why`.
+    """figure = intercept + slope * size. The field names are those of the result files.
+
+    Attributes:
+        slope: Of the line.
+        error: Standard error of the slope.
+        intercept: Of the line.
+        r2: Coefficient of determination.
+        fit: `line`; `flat` (no growth to speak of, or none that stands out from a small scatter); or `poor`.
+        why: What is wrong with a poor fit.
     """
 
     slope: float
@@ -29,67 +49,91 @@
     why: str = ""
 
     def at(self, size: float) -> float:
+        """Returns the figure that the line gives for `size`."""
         return self.intercept + self.slope * size
 
 
-def medians(points: Sequence[tuple[float, float]]) -> dict[float, float]:
-    """By size, the median of its repetitions."""
+class _Verdict(NamedTuple):
+    """Whether measurements lie on a line, and why not."""
+
+    fit: str
+    why: str = ""
+
+
+class _Segment(NamedTuple):
+    """The slope between the medians of two sizes, and how far the scatter lets it be off."""
+
+    slope: float
+    uncertainty: float
+
+
+def medians(points: Sequence[Measurement]) -> dict[float, float]:
+    """Returns, by size, the median of its repetitions."""
     sizes = sorted({size for size, _ in points})
     return {size: statistics.median(v for s, v in points if s == size) for size in sizes}
 
 
-def fitted(points: Sequence[tuple[float, float]]) -> Slope:
-    """Least squares over all points (size, figure); ValueError for fewer than three sizes."""
-    middle = medians(points)
-    if len(middle) < LEAST_SIZES:
-        raise ValueError(f"a slope needs {LEAST_SIZES} sizes or more, not {len(middle)}")
+def fit_line(points: Sequence[Measurement]) -> Slope:
+    """Fits a line to all points by least squares.
+
+    Raises:
+        TooFewSizesError: There are fewer than three sizes.
+    """
+    size_count = len(medians(points))
+    if size_count < MIN_SIZES:
+        raise TooFewSizesError(f"a slope needs {MIN_SIZES} sizes or more, not {size_count}")
     x, y = (np.array(values, dtype=float) for values in zip(*points, strict=True))
     design = np.column_stack([np.ones_like(x), x])
     (intercept, slope), *_ = np.linalg.lstsq(design, y, rcond=None)
-    left = y - intercept - slope * x
-    spread = float(((x - x.mean()) ** 2).sum())
-    free = max(1, len(x) - 2)
-    error = float(np.sqrt((left**2).sum() / free / spread))
+    residuals = y - intercept - slope * x
+    residual_sum = (residuals**2).sum()
+    x_spread = float(((x - x.mean()) ** 2).sum())
+    degrees_of_freedom = max(1, len(x) - 2)
+    error = float(np.sqrt(residual_sum / degrees_of_freedom / x_spread))
     total = float(((y - y.mean()) ** 2).sum())
-    r2 = 1.0 - float((left**2).sum()) / total if total else 1.0
-    fit, why = _judged(points, float(slope), error, float(intercept))
-    return Slope(float(slope), error, float(intercept), r2, fit, why)
-
-
-def _judged(
-    points: Sequence[tuple[float, float]], slope: float, error: float, intercept: float
-) -> tuple[str, str]:
-    middle = medians(points)
-    sizes, values = list(middle), [value for _, value in points]
-    level = statistics.fmean(abs(v) for v in middle.values())
-    reach = sizes[-1] - sizes[0]
-    if abs(slope) <= 2 * error or abs(slope) * reach <= NOTHING * level:
-        if max(values) - min(values) <= WIDE * level:
-            return "flat", ""
-        return "poor", "the scatter hides any slope"
-    lower, below = _between(points, sizes[0], sizes[-2])
-    upper, above = _between(points, sizes[-2], sizes[-1])
-    if abs(upper - lower) > BENT * max(abs(upper), abs(lower)) + below + above:
-        return "poor", f"bent: {upper:.3g} at the top, {lower:.3g} below"
-    spans = max(middle.values()) - min(middle.values())
-    for size, value in middle.items():
-        if abs(value - intercept - slope * size) > OFF * spans + 2 * _scatter(points, size):
-            return "poor", f"size {size:g} lies off the line: {value:.3g}, not {intercept + slope * size:.3g}"
-    if error > VAGUE * abs(slope):
-        return "poor", f"the slope's error is {error / abs(slope):.0%} of it"
-    return "line", ""
-
-
-def _between(points: Sequence[tuple[float, float]], low: float, high: float) -> tuple[float, float]:
-    """The slope from one size's median to another's, and what the scatter of their repetitions lets it be
-    off by.
-    """
-    middle = medians(points)
-    off = (_scatter(points, low) ** 2 + _scatter(points, high) ** 2) ** 0.5
-    return (middle[high] - middle[low]) / (high - low), 2 * off / (high - low)
-
-
-def _scatter(points: Sequence[tuple[float, float]], size: float) -> float:
-    """The standard deviation of a size's repetitions; 0 for one."""
+    r2 = 1.0 - float(residual_sum) / total if total else 1.0
+    verdict = _judge(points, float(slope), error, float(intercept))
+    return Slope(float(slope), error, float(intercept), r2, verdict.fit, verdict.why)
+
+
+def _judge(points: Sequence[Measurement], slope: float, error: float, intercept: float) -> _Verdict:
+    """Returns whether a line describes the points."""
+    by_size = medians(points)
+    sizes = list(by_size)
+    mean = statistics.fmean(abs(value) for value in by_size.values())
+    rise = abs(slope) * (sizes[-1] - sizes[0])
+    if abs(slope) <= SIGNIFICANCE * error or rise <= MIN_RISE * mean:
+        return _judge_without_slope([value for _, value in points], mean)
+    lower = _segment(points, sizes[0], sizes[-2])
+    upper = _segment(points, sizes[-2], sizes[-1])
+    allowed_bend = MAX_BEND * max(abs(upper.slope), abs(lower.slope))
+    if abs(upper.slope - lower.slope) > allowed_bend + lower.uncertainty + upper.uncertainty:
+        return _Verdict(FIT_POOR, f"bent: {upper.slope:.3g} at the top, {lower.slope:.3g} below")
+    span = max(by_size.values()) - min(by_size.values())
+    for size, value in by_size.items():
+        expected = intercept + slope * size
+        if abs(value - expected) > MAX_OFFSET * span + SIGNIFICANCE * _scatter(points, size):
+            return _Verdict(FIT_POOR, f"size {size:g} lies off the line: {value:.3g}, not {expected:.3g}")
+    if error > MAX_RELATIVE_ERROR * abs(slope):
+        return _Verdict(FIT_POOR, f"the slope's error is {error / abs(slope):.0%} of it")
+    return _Verdict(FIT_LINE)
+
+
+def _judge_without_slope(values: Sequence[float], mean: float) -> _Verdict:
+    """Returns whether values without a significant slope are close enough to be called flat."""
+    if max(values) - min(values) <= MAX_FLAT_SPREAD * mean:
+        return _Verdict(FIT_FLAT)
+    return _Verdict(FIT_POOR, "the scatter hides any slope")
+
+
+def _segment(points: Sequence[Measurement], low: float, high: float) -> _Segment:
+    by_size = medians(points)
+    scatter = math.sqrt(_scatter(points, low) ** 2 + _scatter(points, high) ** 2)
+    slope = (by_size[high] - by_size[low]) / (high - low)
+    return _Segment(slope, SIGNIFICANCE * scatter / (high - low))
+
+
+def _scatter(points: Sequence[Measurement], size: float) -> float:
+    """Returns the standard deviation of a size's repetitions; 0 for one."""
     values = [v for s, v in points if s == size]
     return statistics.stdev(values) if len(values) > 1 else 0.0
--- a/ingress_testbed/soak/fault_injector.py
+++ b/ingress_testbed/soak/fault_injector.py
@@ -128,10 +128,10 @@
 
     async def _crowd(self, fault: Fault, node: Node) -> None:
         count = self._fleet.descriptor_limit
-        await self._fleet.clients.ask("crowd", node=fault.target, count=count, seconds=fault.seconds)
+        await self._fleet.clients.call("crowd", node=fault.target, count=count, seconds=fault.seconds)
 
     async def _let_clients_leave(self, fault: Fault, node: Node) -> None:
-        await self._fleet.clients.ask("leave", node=fault.target)
+        await self._fleet.clients.call("leave", node=fault.target)
 
     async def _silence_discovery(self, fault: Fault, node: Node) -> None:
         if any(discovery.is_silent for discovery in self._fleet.discoveries):
@@ -206,10 +206,10 @@
         fraction = 1.0 if behaviour in ("down", "hang") else self._rng.choice((0.1, 0.5, 1.0))
         hosts = [self._fleet.endpoints.host(name) for name in names]
         for host in hosts:
-            await self._fleet.backends.ask("behave", address=host, kind=behaviour, fraction=fraction)
+            await self._fleet.backends.call("behave", address=host, kind=behaviour, fraction=fraction)
         await asyncio.sleep(fault.seconds)
         for host in hosts:
-            await self._fleet.backends.ask("behave", address=host, kind=SOUND, fraction=1.0)
+            await self._fleet.backends.call("behave", address=host, kind=SOUND, fraction=1.0)
 
     async def _drain_endpoints(self, fault: Fault, node: Node) -> None:
         names = self._fleet.endpoints.sample(self._rng, 6)
--- a/ingress_testbed/soak/run.py
+++ b/ingress_testbed/soak/run.py
@@ -24,7 +24,7 @@
 from ingress_testbed.soak.records import Arrival, BadPeer, Call, Run
 from ingress_testbed.soak.setup import Setup
 from ingress_testbed.standins.counter import CounterServer
-from ingress_testbed.worker import HERE, Worker
+from ingress_testbed.worker import PROJECT_ROOT, Worker
 
 SETTLE_TIME = 3.5  # s after the last client, in which all that is left has to end
 LAG_INTERVAL = 0.02  # s between looks how late this process is
@@ -84,11 +84,11 @@
         await self._start()
         began_at = time.monotonic()
         watching = asyncio.get_running_loop().create_task(self._watch_lag())
-        await self.clients.ask("begin", rate=self._size.rate, seconds=self._size.seconds)
+        await self.clients.call("begin", rate=self._size.rate, seconds=self._size.seconds)
         for fault in self._faults:
             await asyncio.sleep(max(0.0, began_at + fault.at - time.monotonic()))
             self._spawn(self._injector.inject(fault))
-        asked = await self.clients.ask("result")
+        asked = await self.clients.call("result")
         while self._tasks:
             await asyncio.wait(self._tasks)
         await asyncio.sleep(SETTLE_TIME)
@@ -96,7 +96,7 @@
             node.process.record_resources()
         await asyncio.gather(*(node.end() for node in self.nodes))
         watching.cancel()
-        served = await self.backends.ask("result")
+        served = await self.backends.call("result")
         return self._records(began_at, asked, served)
 
     def _records(self, began_at: float, asked: dict[str, Any], served: dict[str, Any]) -> Run:
@@ -118,7 +118,7 @@
 
     async def _start(self) -> None:
         self.backends = await self._worker("ingress_testbed.soak.backends:Host")
-        port = int(await self.backends.ask("start", seed=self._seed, idle=self._setup.idle))
+        port = int(await self.backends.call("start", seed=self._seed, idle=self._setup.idle))
         self.endpoints = EndpointTable(self._size.backends, port)
         for _ in range(2):  # a reload goes from one to the other
             self.discoveries.append(NodeDiscovery(self.endpoints.entries))
@@ -129,14 +129,14 @@
             await counter.start()
         library = build(self._folder)
         for number in range(self._size.nodes):
-            self.nodes.append(Node(number, self._folder, library, HERE, inherits=number % 2 == 0))
+            self.nodes.append(Node(number, self._folder, library, PROJECT_ROOT, inherits=number % 2 == 0))
             self.configure(number, 0)
         await asyncio.gather(*(node.start() for node in self.nodes))
         self.clients = await self._worker("ingress_testbed.soak.clients:Host")
-        await self.clients.ask("start", seed=self._seed, ports=[node.port for node in self.nodes])
+        await self.clients.call("start", seed=self._seed, ports=[node.port for node in self.nodes])
 
     async def _worker(self, target: str) -> Worker:
-        worker = await Worker.start(target, HERE, dict(os.environ))
+        worker = await Worker.start(target, PROJECT_ROOT, dict(os.environ))
         self._workers.append(worker)
         return worker
 
--- a/ingress_testbed/sweep.py
+++ b/ingress_testbed/sweep.py
@@ -21,7 +21,7 @@
 from ingress_testbed.lab import Lab
 from ingress_testbed.real import PACKAGES
 from ingress_testbed.results import Point, Result, write
-from ingress_testbed.worker import HERE
+from ingress_testbed.worker import PROJECT_ROOT
 
 Report = Callable[[Point, float], None]
 
@@ -41,21 +41,25 @@
     """
     if commit is None:
         changed = bool(_git("status", "--porcelain", "--", "quota_ingress"))
-        yield HERE, _git("log", "-1", "--format=%h", "--abbrev=10", "HEAD", "--", "quota_ingress"), changed
+        yield (
+            PROJECT_ROOT,
+            _git("log", "-1", "--format=%h", "--abbrev=10", "HEAD", "--", "quota_ingress"),
+            changed,
+        )
         return
     name = _git("rev-parse", "--short=10", "--verify", f"{commit}^{{commit}}")
     packages = [package for package in _git("ls-tree", "--name-only", name).split() if package in PACKAGES]
     if not packages:
         raise ProgramError(f"commit {name} has no program")
     command = ["git", "archive", name, *packages]
-    archive = subprocess.run(command, cwd=HERE, capture_output=True, check=True)
+    archive = subprocess.run(command, cwd=PROJECT_ROOT, capture_output=True, check=True)
     with tempfile.TemporaryDirectory() as folder, tarfile.open(fileobj=BytesIO(archive.stdout)) as files:
         files.extractall(folder, filter="data")
         yield Path(folder), name, False
 
 
 def _git(*words: str) -> str:
-    done = subprocess.run(["git", *words], cwd=HERE, capture_output=True, text=True, check=False)
+    done = subprocess.run(["git", *words], cwd=PROJECT_ROOT, capture_output=True, text=True, check=False)
     if done.returncode:
         raise ProgramError(done.stderr.strip().splitlines()[-1])
     return done.stdout.strip()
@@ -117,8 +121,8 @@
                 async with Lab(root, drawn, options, Path(caches)) as lab:
                     figures = await experiment.play(lab, size)
                 result.points.append(Point(size, repetition, figures))
-                result.reckon()
-                result.whole = len(result.points) == repeat * len(sizes)
+                result.update_statistics()
+                result.is_complete = len(result.points) == repeat * len(sizes)
                 write(result, path)
                 report(result.points[-1], time.monotonic() - began)
         return result
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -19,8 +19,8 @@
 import pytest
 
 from ingress_testbed import results, slopes
-from ingress_testbed.hollow import Crowd
-from ingress_testbed.load import Load
+from ingress_testbed.hollow import HollowFleet
+from ingress_testbed.load import LoadGenerator
 from ingress_testbed.model import entry
 from ingress_testbed.standins import counter as counter_module
 from ingress_testbed.standins import discovery as discovery_module
@@ -189,7 +189,9 @@
 
 async def test_clients_send_at_drawn_moments_whatever_is_answered() -> None:
     async with serving(BackendServer(work=0.3)) as backends:
-        told = await Load(HOST, backends.port).run(100.0, 0.5, seed=7, customers=5, spread=1, routes=1)
+        told = await LoadGenerator(HOST, backends.port).run(
+            100.0, 0.5, seed=7, customers=5, spread=1, routes=1
+        )
     rng, due, drawn = random.Random(7), 0.0, -1
     while due < 0.5:
         drawn, due = drawn + 1, due + rng.expovariate(100.0)
@@ -204,21 +206,19 @@
 async def test_hollow_ingresses_take_changes_and_call_the_counter() -> None:
     entries = [entry(n, 80) for n in range(6)]
     async with serving(DiscoveryServer(entries)) as discovery, serving(CounterServer()) as counter:
-        crowd = Crowd()
-        await crowd.start(0, 3, 4, [HOST, discovery.port], counter.port, pace=0.0)
+        fleet = HollowFleet()
+        await fleet.start(0, 3, 4, [HOST, discovery.port], counter.port, pace=0.0)
         async with asyncio.timeout(10):
             while len(discovery.watches) < 3:
                 await asyncio.sleep(0.01)
             since = time.monotonic()
             version = discovery.apply_change([entry(0, 80, "draining")])
-            while len(crowd.in_force(version)) < 3:
+            while len(fleet.in_force(version)) < 3:
                 await asyncio.sleep(0.01)
-        assert min(crowd.in_force(version)) >= since and crowd.in_force(version + 1) == []
-        got = await crowd.requests(20.0, 0.5, customers=3, spread=4)
+        assert min(fleet.in_force(version)) >= since and fleet.in_force(version + 1) == []
+        got = await fleet.requests(20.0, 0.5, customers=3, spread=4)
         assert got["served"] > 10 and got["failed"] == 0 and counter.add_count > 0
-        for hollow in crowd._all:
-            hollow.discovery.stop()
-            hollow.counter.stop()
+        fleet.stop()
 
 
 # ---------------------------------------------------------------- slopes and results
@@ -227,7 +227,7 @@
 def test_a_known_slope_is_found_through_noise_within_its_error() -> None:
     rng = random.Random(3)
     points = [(x, 40 + 0.25 * x + rng.gauss(0, 20)) for x in (100, 1000, 10_000) for _ in range(5)]
-    found = slopes.fitted(points)
+    found = slopes.fit_line(points)
     assert found.fit == "line" and 0 < found.error < 0.01
     assert abs(found.slope - 0.25) < 3 * found.error and found.at(20_000) == pytest.approx(5040, rel=0.02)
 
@@ -243,19 +243,19 @@
     ],
 )
 def test_what_is_no_line_is_said_to_be_none(points: list[tuple[float, float]], fit: str, why: str) -> None:
-    found = slopes.fitted(points)
+    found = slopes.fit_line(points)
     assert found.fit == fit and why in found.why
 
 
 def test_two_sizes_make_no_slope() -> None:
     with pytest.raises(ValueError, match="3 sizes"):
-        slopes.fitted([(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)])
+        slopes.fit_line([(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)])
 
 
 def made(size: float = 3.0) -> results.Result:
     result = results.Result("e", "c", "abc", False, "n", 1, "now", {}, {})
     result.points = [results.Point(size * n, 0, {"cpu_ms": 2.0 * size * n}) for n in (1, 2, 3)]
-    result.reckon()
+    result.update_statistics()
     return result
 
 
@@ -297,7 +297,11 @@
     said, _ = ran.communicate(timeout=120)
     assert ran.returncode == 0, said
     result = results.read(path)
-    assert result.whole and [p.size for p in result.points] == [2, 4, 6] and result.options["backends"] == 30
+    assert (
+        result.is_complete
+        and [p.size for p in result.points] == [2, 4, 6]
+        and result.options["backends"] == 30
+    )
     for point in result.points:  # each came back, hollow and real, and has both changes made meanwhile
         assert point.figures["back_n"] == 1 and point.figures["in_force_part"] == 1
         assert point.figures["calls_each_n"] >= 1
@@ -312,7 +316,7 @@
     said, _ = ran.communicate(timeout=60)
     assert ran.returncode == 130 and "Traceback" not in said
     result = results.read(path)
-    assert not result.whole and 1 <= len(result.points) < 300 and os.listdir(tmp_path) == [path.name]
+    assert not result.is_complete and 1 <= len(result.points) < 300 and os.listdir(tmp_path) == [path.name]
 
 
 @pytest.mark.parametrize(
@@ -346,9 +350,11 @@
     for path in folder.iterdir():
         result = results.read(path)
         run = f"| `{path.name}` | `{result.command}` | `{result.program}` |"
-        assert run in page and result.whole and not result.changed, path.name
+        assert run in page and result.is_complete and not result.is_modified, path.name
         for figure, kept in result.slopes.items():
-            found = slopes.fitted([(p.size, p.figures[figure]) for p in result.points if figure in p.figures])
+            found = slopes.fit_line(
+                [(p.size, p.figures[figure]) for p in result.points if figure in p.figures]
+            )
             slope = pytest.approx(kept.slope, rel=1e-12, abs=1e-12)  # last bits: the processor's
             assert (found.slope, found.fit) == (slope, kept.fit), figure
 
