--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -122,16 +122,16 @@
                     quota.spend(request.event.units)
             case Verdict.OVER_QUOTA:
                 self._reject_or_defer(request)
+            case Verdict.WITHOUT_COUNTER:
+                self._admit_without_counter(request)
+            case Verdict.DEFER:
+                call_at = max(now, self.call_pacing.next_call_at) + self._settings.tick
+                self._requests.actions.append(SetTimer(request.event.request, call_at))
             case Verdict.AWAIT_LEASE:
                 quota.waiting.append(request)
             case Verdict.REQUEST_LEASE:
                 quota.waiting.append(request)
                 self._call(quota.request_lease(now, self.call_pacing.congestion))
-            case Verdict.DEFER:
-                call_at = max(now, self.call_pacing.next_call_at) + self._settings.tick
-                self._requests.actions.append(SetTimer(request.event.request, call_at))
-            case Verdict.WITHOUT_COUNTER:
-                self._admit_without_counter(request)
 
     def _admit_without_counter(self, request: Request) -> None:
         """Decides by the local allowance; by a draw where that is less than the request."""
@@ -200,7 +200,7 @@
         self.customers = {
             customer: quota
             for customer, quota in self.customers.items()
-            if now - quota.demand.updated_at < quota.retention()
+            if now - quota.demand.updated_at < quota.retention
         }
 
     def hand_over(self) -> tuple[CustomerQuotaSnapshot, ...]:
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -42,7 +42,14 @@
 class CountedQuota(QuotaState):
     """Leases from the decaying count."""
 
-    __slots__ = ("_statistics", "_uses_count", "count", "last_answer_at", "lease_success_rate")
+    __slots__ = (
+        "_plan_leases",
+        "_statistics",
+        "_uses_count",
+        "count",
+        "last_answer_at",
+        "lease_success_rate",
+    )
 
     def __init__(
         self,
@@ -55,16 +62,14 @@
         statistics: LeaseStatistics,
     ) -> None:
         super().__init__(plan, gateway_count, slot_duration, now)
+        self.retention = max(MIN_RETENTION, self.retention)  # each gateway sees few of the requests
         self._uses_count = counter_allowed and plan.rate > 0
         self._statistics = statistics
+        self._plan_leases = statistics.by_plan[plan]
         self.count = DecayingCount(plan.burst, self.window)
         self.last_answer_at = NEVER
         self.lease_success_rate = -1.0  # of leases that brought units; below 0: none was requested
 
-    def retention(self) -> int:
-        """Returns the us after the last request during which the state is of use."""
-        return max(MIN_RETENTION, super().retention())
-
     def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
         """Decides on a request by the leased units and the decaying count."""
         if not self._uses_count:
@@ -91,7 +96,7 @@
     def _expected_success_rate(self) -> float:
         if self.lease_success_rate >= 0:
             return self.lease_success_rate
-        return self._statistics.success_rates[self.plan]
+        return self._plan_leases.success_rate
 
     def _is_hardly_used(self, now: int, units: float, available: float) -> bool:
         """Returns whether a recent count was under half of the limit."""
@@ -109,7 +114,7 @@
         """Returns the chance of admission; that of an unknown customer also goes by its plan's customers."""
         fraction = super().admitted_fraction_without_counter(now, units, is_retry)
         if self.lease_success_rate < 0:
-            fraction *= self._statistics.success_rates[self.plan]
+            fraction *= self._plan_leases.success_rate
         return fraction
 
     def spend_without_counter(self, now: int, units: float) -> None:
@@ -188,8 +193,8 @@
         else:
             self.local_allowance.units = 0.0
         if self.lease_success_rate < 0:
-            self.lease_success_rate = self._statistics.success_rates[self.plan]
-            self._statistics.record_first_lease(self.plan, brought_units)
+            self.lease_success_rate = self._plan_leases.success_rate
+            self._plan_leases.record_first_lease(brought_units)
         self.lease_success_rate += SUCCESS_SMOOTHING * (brought_units - self.lease_success_rate)
 
     def _correction(self, call: CounterCall, now: int, units: float) -> CounterCall:
--- a/quota_ingress/policy/customer_quota.py
+++ b/quota_ingress/policy/customer_quota.py
@@ -45,6 +45,7 @@
     in_flight: int  # attempts
     waiting: list[Request]  # for the counter's answer
     lease_requested: bool
+    retention: int  # us after the last request during which the state is of use
 
     def record_arrival(self, now: int, units: float, is_retry: bool) -> None:
         """Counts a request as demand, and refills the local parts."""
@@ -92,9 +93,6 @@
     def take_waiting(self) -> list[Request]:
         """Returns the requests that waited for a lease, which is no longer requested."""
 
-    def retention(self) -> int:
-        """Returns the us after the last request during which the state is of use."""
-
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
         """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
 
--- a/quota_ingress/policy/lease.py
+++ b/quota_ingress/policy/lease.py
@@ -41,12 +41,25 @@
     is_lease: bool = False  # otherwise a correction: its answer changes nothing
 
 
+class PlanLeases:
+    """How the first leases for new customers of one plan ended."""
+
+    __slots__ = ("success_rate",)
+
+    def __init__(self) -> None:
+        self.success_rate = 1.0  # of those that brought units
+
+    def record_first_lease(self, brought_units: float) -> None:
+        """Counts a customer's first lease; `brought_units` is 1 for one that brought units, else 0."""
+        self.success_rate += PLAN_SUCCESS_SMOOTHING * (brought_units - self.success_rate)
+
+
 class LeaseStatistics:
     """What became of the calls for customers of many gateways, over all of these customers."""
 
     def __init__(self, plans: tuple[Plan, ...]) -> None:
         self.answered_fraction = 1.0  # of requests: those not admitted without the counter's answer
-        self.success_rates = dict.fromkeys(plans, 1.0)  # of first calls for a customer that brought units
+        self.by_plan = {plan: PlanLeases() for plan in plans}
 
     def record_answer(self) -> None:
         """Counts a lease that the counter answered."""
@@ -55,8 +68,3 @@
     def record_unanswered_request(self) -> None:
         """Counts a request admitted without the counter."""
         self.answered_fraction -= ANSWERED_SMOOTHING * self.answered_fraction
-
-    def record_first_lease(self, plan: Plan, brought_units: float) -> None:
-        """Counts a customer's first lease; `brought_units` is 1 for one that brought units, else 0."""
-        before = self.success_rates[plan]
-        self.success_rates[plan] = before + PLAN_SUCCESS_SMOOTHING * (brought_units - before)
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -33,6 +33,7 @@
         "local_allowance",
         "plan",
         "refill_rate",
+        "retention",
         "ring",
         "waiting",
         "window",
@@ -52,6 +53,7 @@
         self.window = SECOND  # us in which the bucket fills: one left alone for a window is full
         if plan.rate:
             self.window = max(SECOND, int(plan.burst / plan.rate * SECOND))
+        self.retention = 3 * self.window  # us after the last request during which the state is of use
         self.bucket = TokenBucket(plan.rate, plan.burst, now)
         self.local_allowance = LocalAllowance(plan.rate, plan.burst, gateway_count, units=plan.burst)
         # Empty at first: the gateway may have been restarted after it spent its part.
@@ -77,10 +79,6 @@
         """Corrects the units of an answered request, which are known only with its response."""
         self.bucket.leased_units -= settled_units - estimated_units
 
-    def retention(self) -> int:
-        """Returns the us after the last request during which the state is of use."""
-        return 3 * self.window
-
     def take_waiting(self) -> list[Request]:
         """Returns the requests that waited for a lease, which is no longer requested."""
         waiting = self.waiting
