--- a/quota_ingress/policy/borrowing_ring.py
+++ b/quota_ingress/policy/borrowing_ring.py
@@ -56,8 +56,8 @@
         for tried, offset in enumerate(RETRY_OFFSETS):
             if self.slots[offset].capacity > 0:
                 self.slots[offset].capacity -= units
-                for passed in RETRY_OFFSETS[:tried]:
-                    self.slots[passed].borrowed_retries += 1
+                for skipped in RETRY_OFFSETS[:tried]:
+                    self.slots[skipped].borrowed_retries += 1
                 return self.slot_duration
         return 0
 
@@ -69,5 +69,5 @@
     def _open_slots(self, refill_rate: float, demand_rate: float) -> None:
         missing = RING_SLOTS - len(self.slots)
         if missing > 0:
-            spare = max(0.0, (refill_rate - demand_rate) * self.slot_duration / SECOND)
-            self.slots.extend(Slot(spare) for _ in range(missing))
+            spare_capacity = max(0.0, (refill_rate - demand_rate) * self.slot_duration / SECOND)
+            self.slots.extend(Slot(spare_capacity) for _ in range(missing))
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -25,7 +25,7 @@
 )
 from quota_ingress.policy.quota_state import NEVER, QuotaState
 from quota_ingress.policy.settings import Plan
-from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
+from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
 
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
@@ -68,7 +68,7 @@
         self._plan_leases = statistics.by_plan[plan]
         self.count = DecayingCount(plan.burst, self.window)
         self.last_answer_at = NEVER
-        self.lease_success_rate = -1.0  # of leases that brought units; below 0: none was requested
+        self.lease_success_rate: float | None = None  # of leases: those that brought units
 
     def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
         """Decides on a request by the leased units and the decaying count."""
@@ -94,9 +94,9 @@
         return Verdict.WITHOUT_COUNTER
 
     def _expected_success_rate(self) -> float:
-        if self.lease_success_rate >= 0:
-            return self.lease_success_rate
-        return self._plan_leases.success_rate
+        if self.lease_success_rate is None:
+            return self._plan_leases.success_rate
+        return self.lease_success_rate
 
     def _is_hardly_used(self, now: int, units: float, available: float) -> bool:
         """Returns whether a recent count was under half of the limit."""
@@ -113,7 +113,7 @@
     def admitted_fraction_without_counter(self, now: int, units: float, is_retry: bool) -> float:
         """Returns the chance of admission; that of an unknown customer also goes by its plan's customers."""
         fraction = super().admitted_fraction_without_counter(now, units, is_retry)
-        if self.lease_success_rate < 0:
+        if self.lease_success_rate is None:
             fraction *= self._plan_leases.success_rate
         return fraction
 
@@ -126,15 +126,15 @@
 
     def request_lease(self, now: int, congestion: float) -> CounterCall:
         """Returns the call for the first waiting request, and whole requests of recent demand."""
-        first = self.waiting[0].event
-        units = first.units
+        request = self.waiting[0].event
+        units = request.units
         available = self.count.available(units) - units
-        ahead = min(self.demand.rate * LEASE_DURATION_S, MAX_LEASE_FRACTION * available)
-        ahead = ahead // units * units if units else 0.0
+        extra = min(self.demand.rate * LEASE_DURATION_S, MAX_LEASE_FRACTION * available)
+        extra = extra // units * units if units else 0.0
         unreported = self.count.take_unreported()
         self.lease_requested = True
-        name = counter_name(first.customer, self.count.epoch_number(now))
-        return self._call(name, self.count.epoch_start(now), now, units + ahead, unreported, is_lease=True)
+        name = counter_name(request.customer, self.count.epoch_number(now))
+        return self._call(name, self.count.epoch_start(now), now, units + extra, unreported, is_lease=True)
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
         """Takes back what a call was to report, if the counter added nothing."""
@@ -149,26 +149,26 @@
 
         Use without the counter is missing in the count. In that measure, leases past the limit are left in
         it: this saves calls where the counter has no capacity for all of them, and it is of the same
-        customers, those at their limit. Any more of it would starve a customer that asks several times its
+        customers, those at their limit. More than that would starve a customer that asks several times its
         quota.
         """
         self._statistics.record_answer()
         corrections: list[CounterCall] = []
-        faded = math.exp(-event.latency / self.window)  # what is left of units added with the call
+        decay = math.exp(-event.latency / self.window)  # of the units since they were added with the call
         total = event.total / self.count.weight(now, call.window_start)
-        leased = call.leased_units * faded
-        added = (call.leased_units + call.unreported_units) * faded
+        leased = call.leased_units * decay
+        added = (call.leased_units + call.unreported_units) * decay
         if self._was_lost(total, added):
             missing = max(0.0, self.count.usage + added - max(total, 0.0))
             corrections.append(self._correction(call, now, missing))
             total = max(total, 0.0) + missing
-        excess = self._excess(leased, total, faded)
+        excess = self._excess(leased, total, decay)
         if excess > 0 and rng.random() < self._statistics.answered_fraction**2:
             corrections.append(self._correction(call, now, -excess))
         self.count.usage = total - excess
-        self.count.leased_units += (leased - excess) / faded
+        self.count.leased_units += (leased - excess) / decay
         self.last_answer_at = now
-        self._record_lease(leased - excess, float(excess < leased))
+        self._record_lease(leased - excess, has_units=excess < leased)
         return corrections
 
     def _was_lost(self, total: float, added: float) -> bool:
@@ -177,25 +177,25 @@
             return True
         return self.count.usage + added - total > self.plan.burst / 2
 
-    def _excess(self, leased: float, total: float, faded: float) -> float:
+    def _excess(self, leased: float, total: float, decay: float) -> float:
         """Returns the units of a lease that are past the limit; all if the rest would cover no request."""
         units = self.waiting[0].event.units if self.waiting else 0.0
         excess = min(leased, max(0.0, total - self.count.limit(units)))
-        if self.count.leased_units + leased - excess < units * faded:
+        if self.count.leased_units + leased - excess < units * decay:
             return leased
         return excess
 
-    def _record_lease(self, granted: float, brought_units: float) -> None:
-        """Learns from a lease; `brought_units` is 1 if it brought units, else 0."""
+    def _record_lease(self, granted: float, has_units: bool) -> None:
+        """Learns from a lease of `granted` units."""
         self.refill_rate = min(self.plan.rate, granted / LEASE_DURATION_S)
-        if brought_units:
+        if has_units:
             self.local_allowance.spend(granted)
         else:
             self.local_allowance.units = 0.0
-        if self.lease_success_rate < 0:
+        if self.lease_success_rate is None:
             self.lease_success_rate = self._plan_leases.success_rate
-            self._plan_leases.record_first_lease(brought_units)
-        self.lease_success_rate += SUCCESS_SMOOTHING * (brought_units - self.lease_success_rate)
+            self._plan_leases.record_first_lease(has_units)
+        self.lease_success_rate += SUCCESS_SMOOTHING * (float(has_units) - self.lease_success_rate)
 
     def _correction(self, call: CounterCall, now: int, units: float) -> CounterCall:
         return self._call(call.counter_name, call.window_start, now, units)
@@ -222,13 +222,14 @@
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
         """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        success_rate = self.lease_success_rate
         snapshot = replace(
             super().hand_over(customer, plan),
             last_answer_at=self.last_answer_at,
             counted_usage=self.count.usage,
             counted_lease=self.count.leased_units,
             decayed_at=self.count.decayed_at,
-            lease_success_rate=self.lease_success_rate,
+            lease_success_rate=NO_LEASE_REQUESTED if success_rate is None else success_rate,
         )
         self.count.leased_units = 0.0
         return snapshot
@@ -240,4 +241,5 @@
         self.count.leased_units = snapshot.counted_lease
         self.count.decayed_at = snapshot.decayed_at
         self.last_answer_at = snapshot.last_answer_at
-        self.lease_success_rate = snapshot.lease_success_rate
+        if snapshot.lease_success_rate >= 0:
+            self.lease_success_rate = snapshot.lease_success_rate
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -259,7 +259,9 @@
     if settings.fleet_size <= 0:
         raise InvalidSettingsError(f"settings: fleet_size is {settings.fleet_size}, not above 0")
     if settings.limits.max_attempts <= 0:
-        raise InvalidSettingsError(f"settings: max_attempts is {settings.limits.max_attempts}, not above 0")
+        raise InvalidSettingsError(
+            f"settings: limits.max_attempts is {settings.limits.max_attempts}, not above 0"
+        )
     if not settings.classes:
         raise InvalidSettingsError("settings: no request classes")
     for number, request_class in enumerate(settings.classes):
--- a/quota_ingress/policy/lease.py
+++ b/quota_ingress/policy/lease.py
@@ -49,9 +49,9 @@
     def __init__(self) -> None:
         self.success_rate = 1.0  # of those that brought units
 
-    def record_first_lease(self, brought_units: float) -> None:
-        """Counts a customer's first lease; `brought_units` is 1 for one that brought units, else 0."""
-        self.success_rate += PLAN_SUCCESS_SMOOTHING * (brought_units - self.success_rate)
+    def record_first_lease(self, has_units: bool) -> None:
+        """Counts a customer's first lease, which brought units or not."""
+        self.success_rate += PLAN_SUCCESS_SMOOTHING * (float(has_units) - self.success_rate)
 
 
 class LeaseStatistics:
--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -26,20 +26,20 @@
 
     def request_lease(self, now: int, congestion: float) -> CounterCall:
         """Returns the call for what the first waiting request lacks, and recent demand of a second."""
-        first = self.waiting[0].event
+        request = self.waiting[0].event
         remaining = self.bucket.remaining(now)
-        needed = max(0.0, min(first.units - self.bucket.leased_units, remaining))
-        demand = max(self.demand.rate * LEASE_DURATION_S, first.units)
-        ahead = min(demand, (remaining - needed) / (2 * self.gateway_count))
-        ahead *= max(1.0, congestion)
-        leased = needed + max(0.0, min(ahead, remaining - needed))
+        needed = max(0.0, min(request.units - self.bucket.leased_units, remaining))
+        demand = max(self.demand.rate * LEASE_DURATION_S, request.units)
+        extra = min(demand, (remaining - needed) / (2 * self.gateway_count))
+        extra *= max(1.0, congestion)
+        leased = needed + max(0.0, min(extra, remaining - needed))
         unreported = self.unreported_units
         self.unreported_units = 0.0
         self.lease_requested = True
         window_number = now // self.window
         return CounterCall(
             self,
-            counter_name(first.customer, window_number),
+            counter_name(request.customer, window_number),
             window_start=window_number * self.window,
             amount=leased + unreported,
             ttl=self._counter_ttl(),
@@ -58,12 +58,13 @@
     ) -> list[CounterCall]:
         """Takes the leased units that the bucket covers; what is past it is added back."""
         refilled = self.plan.rate * (now - call.window_start) / SECOND
-        counted = self.plan.burst + refilled - event.total
-        known = self.bucket.remaining(now) - call.leased_units
-        excess = min(call.leased_units, max(0.0, -min(counted, known)))
-        unknown = self._units_unknown_to_counter(counted - known)
+        remaining_by_counter = self.plan.burst + refilled - event.total
+        remaining_here = self.bucket.remaining(now) - call.leased_units
+        remaining = min(remaining_by_counter, remaining_here)
+        excess = min(call.leased_units, max(0.0, -remaining))
         granted = call.leased_units - excess
-        self.bucket.set_remaining(min(self.plan.burst, min(counted, known) + excess), now)
+        unknown = self._units_unknown_to_counter(remaining_by_counter - remaining_here)
+        self.bucket.set_remaining(min(self.plan.burst, remaining + excess), now)
         self.bucket.leased_units += granted
         self.local_allowance.spend(granted)  # both are parts of one bucket
         self.refill_rate = min(self.plan.rate, granted / LEASE_DURATION_S)
--- a/quota_ingress/policy/snapshot.py
+++ b/quota_ingress/policy/snapshot.py
@@ -7,10 +7,15 @@
 
 from dataclasses import dataclass
 
+NO_LEASE_REQUESTED = -1.0  # as a lease success rate
+
 
 @dataclass(frozen=True, slots=True)
 class CustomerQuotaSnapshot:
-    """A customer's quota state. Moments are microseconds of the clock that both processes share."""
+    """A customer's quota state. Moments are microseconds of the clock that both processes share.
+
+    Both kinds of quota have the same figures; those that a kind lacks have the values of a new customer.
+    """
 
     customer: int
     plan: int  # index into Settings.plans
@@ -28,7 +33,7 @@
     counted_usage: float  # units
     counted_lease: float  # units
     decayed_at: int
-    lease_success_rate: float  # below 0: none was requested
+    lease_success_rate: float  # below 0: no lease was requested
 
 
 @dataclass(frozen=True, slots=True)
