--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -22,7 +22,7 @@
 from quota_ingress.policy.actions import Action, AddToCounter, SetTimer
 from quota_ingress.policy.call_pacing import CallPacing
 from quota_ingress.policy.counted_quota import WIDE_CUSTOMER_GATEWAYS, CountedQuota
-from quota_ingress.policy.customer_quota import CustomerQuota, Verdict
+from quota_ingress.policy.customer_quota import CustomerQuota, Decision
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.events import NEVER_RAN, CounterAnswered, RequestArrived
 from quota_ingress.policy.lease import CounterCall, LeaseStatistics
@@ -117,19 +117,19 @@
             self._reject_or_defer(request)
             return
         match quota.assess(request, now, self.call_pacing, answered):
-            case Verdict.ADMIT:
+            case Decision.ADMIT:
                 if self._requests.send(request):
                     quota.spend(request.event.units)
-            case Verdict.OVER_QUOTA:
+            case Decision.OVER_QUOTA:
                 self._reject_or_defer(request)
-            case Verdict.WITHOUT_COUNTER:
+            case Decision.WITHOUT_COUNTER:
                 self._admit_without_counter(request)
-            case Verdict.DEFER:
+            case Decision.DEFER:
                 call_at = max(now, self.call_pacing.next_call_at) + self._settings.tick
                 self._requests.actions.append(SetTimer(request.event.request, call_at))
-            case Verdict.AWAIT_LEASE:
+            case Decision.AWAIT_LEASE:
                 quota.waiting.append(request)
-            case Verdict.REQUEST_LEASE:
+            case Decision.REQUEST_LEASE:
                 quota.waiting.append(request)
                 self._call(quota.request_lease(now, self.call_pacing.congestion))
 
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from quota_ingress.policy.call_pacing import CallPacing
-from quota_ingress.policy.customer_quota import Verdict
+from quota_ingress.policy.customer_quota import Decision
 from quota_ingress.policy.decaying_count import EPOCH_WINDOWS, DecayingCount
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.events import CounterAnswered
@@ -70,7 +70,7 @@
         self.last_answer_at = NEVER
         self.lease_success_rate: float | None = None  # of leases: those that brought units
 
-    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
+    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
         """Decides on a request by the leased units and the decaying count."""
         if not self._uses_count:
             return super().assess(request, now, pacing, answered)
@@ -78,20 +78,20 @@
         self.count.decay_to(now)
         available = self.count.available(units)
         if self.count.leased_units >= units and not self.waiting:
-            return Verdict.ADMIT
+            return Decision.ADMIT
         if answered or (available < units and not self.lease_requested):
-            return Verdict.OVER_QUOTA  # the other gateways can but have used more
+            return Decision.OVER_QUOTA  # the other gateways can but have used more
         if self.lease_requested:
-            return Verdict.AWAIT_LEASE
+            return Decision.AWAIT_LEASE
         success_rate = self._expected_success_rate()
         if pacing.unused_fraction(now) >= 1 - success_rate:  # unlikely leases get the last of the calls
-            return Verdict.REQUEST_LEASE
+            return Decision.REQUEST_LEASE
         if self._is_hardly_used(now, units, available):
-            return Verdict.ADMIT  # the next call reports it
+            return Decision.ADMIT  # the next call reports it
         may_wait_until = request.arrived_at + MAX_DEFER_FRACTION * request.request_class.latency_objective
         if success_rate > LIKELY_SUCCESS_RATE and now < may_wait_until:
-            return Verdict.DEFER
-        return Verdict.WITHOUT_COUNTER
+            return Decision.DEFER
+        return Decision.WITHOUT_COUNTER
 
     def _expected_success_rate(self) -> float:
         if self.lease_success_rate is None:
--- a/quota_ingress/policy/customer_quota.py
+++ b/quota_ingress/policy/customer_quota.py
@@ -23,8 +23,8 @@
     from quota_ingress.policy.request_state import Request
 
 
-class Verdict(Enum):
-    """What a quota says about a request."""
+class Decision(Enum):
+    """What a quota decides on a request."""
 
     ADMIT = auto()  # it is covered
     OVER_QUOTA = auto()
@@ -50,7 +50,7 @@
     def record_arrival(self, now: int, units: float, is_retry: bool) -> None:
         """Counts a request as demand, and refills the local parts."""
 
-    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
+    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
         """Decides on a request.
 
         Args:
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -6,7 +6,7 @@
 
 from quota_ingress.policy.borrowing_ring import BorrowingRing
 from quota_ingress.policy.call_pacing import CallPacing
-from quota_ingress.policy.customer_quota import Verdict
+from quota_ingress.policy.customer_quota import Decision
 from quota_ingress.policy.demand_rate import DemandRate
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.local_allowance import LocalAllowance
@@ -86,7 +86,7 @@
         self.lease_requested = False
         return waiting
 
-    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
+    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
         """Decides on a request by the leased units and the bound of the shared bucket.
 
         Args:
@@ -99,14 +99,14 @@
         bucket = self.bucket
         if not self.plan.rate or (bucket.leased_units >= units and not self.waiting):
             bucket.advance_to(now)
-            return Verdict.ADMIT
+            return Decision.ADMIT
         if answered or bucket.remaining(now) + bucket.leased_units < units:
-            return Verdict.OVER_QUOTA
+            return Decision.OVER_QUOTA
         if pacing.answer_would_be_late(now, request.useful_until):
-            return Verdict.WITHOUT_COUNTER
+            return Decision.WITHOUT_COUNTER
         if self.lease_requested:
-            return Verdict.AWAIT_LEASE
-        return Verdict.REQUEST_LEASE if pacing.may_call(now) else Verdict.WITHOUT_COUNTER
+            return Decision.AWAIT_LEASE
+        return Decision.REQUEST_LEASE if pacing.may_call(now) else Decision.WITHOUT_COUNTER
 
     def spend(self, units: float) -> None:
         """Takes the units of an admitted request off the lease."""
