--- a/quota_ingress/config.py
+++ b/quota_ingress/config.py
@@ -9,7 +9,6 @@
 import logging
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
-from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
 from quota_ingress.net.discovery.endpoint_codec import (
@@ -101,8 +100,8 @@
 
 def _read_document(path: str, object_hook: Callable[[Document], Any]) -> Document:
     try:
-        text = Path(path).read_text("utf-8-sig")
-        document = json.loads(text, object_hook=object_hook)
+        with open(path, encoding="utf-8-sig") as file:
+            document = json.load(file, object_hook=object_hook)
     except OSError as error:
         raise ConfigUnreadableError(str(error)) from None
     except PARSE_ERRORS as error:
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -12,7 +12,6 @@
 from enum import IntEnum
 from functools import partial
 from typing import NamedTuple, Protocol
-from urllib.parse import unquote
 
 from quota_ingress.net.acceptor import Acceptor, listening_socket
 from quota_ingress.net.http import FramingError, HttpConnection, MemoryBudget, Message, RequestReader
@@ -22,6 +21,7 @@
 READY_PATH = "/control/ready"
 OUT_OF_SERVICE_PATH = "/control/out-of-service"
 IN_SERVICE_PATH = "/control/in-service"
+PERCENT_ENCODED = re.compile(rb"%([0-9A-Fa-f]{2})")
 BACKEND_PATH = re.compile(r"/control/backends/(?P<name>[^/]+)/(?P<state>offline|online)")
 
 log = logging.getLogger(__name__)
@@ -61,6 +61,14 @@
         """Takes the ingress out of service, or back in."""
 
 
+def decode_percent(text: str) -> str:
+    """Returns what `urllib.parse.unquote` does, whose import would add 5 ms to each start."""
+    encoded = text.encode()
+    return PERCENT_ENCODED.sub(lambda match: bytes.fromhex(match[1].decode()), encoded).decode(
+        "utf-8", "replace"
+    )
+
+
 class Answer(NamedTuple):
     """The answer to a call: its status, and a line of text."""
 
@@ -159,7 +167,7 @@
     def _route(self, path: str) -> Route | None:
         if (backend := BACKEND_PATH.fullmatch(path)) is None:
             return self._routes.get(path)
-        return Route("POST", partial(self._override, unquote(backend["name"]), backend["state"]))
+        return Route("POST", partial(self._override, decode_percent(backend["name"]), backend["state"]))
 
     def _ready(self) -> Answer:
         if self._controls.ready():
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -13,7 +13,6 @@
 import os
 import socket
 from collections.abc import Callable, Iterable, Mapping
-from pathlib import Path
 from typing import Protocol
 
 from quota_ingress.net.acceptor import Acceptor
@@ -79,8 +78,8 @@
             directory: A directory that all processes of this ingress share.
         """
         self._participant = participant
-        self._path = Path(directory, SOCKET_NAME)
-        self._own_path = self._path.with_name(f"{SOCKET_NAME}.{os.getpid()}")
+        self._path = os.path.join(directory, SOCKET_NAME)
+        self._own_path = f"{self._path}.{os.getpid()}"
         self._has_handed_over = False
         self._channel: UpgradeChannel | None = None  # to the other process, if there is one
         self._other_has_list = False  # the other process holds the endpoint list that this one does
@@ -95,7 +94,7 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
-                _, channel = await loop.create_unix_connection(lambda: UpgradeChannel(self), str(self._path))
+                _, channel = await loop.create_unix_connection(lambda: UpgradeChannel(self), self._path)
         except (OSError, ValueError) as error:  # missing or stale, or a path too long for a socket
             log.info("upgrade: no process to take over from: %s", error)
             return False
@@ -139,7 +138,7 @@
         if channel:
             channel.abort()
         with contextlib.suppress(OSError):
-            self._own_path.unlink(missing_ok=True)
+            os.unlink(self._own_path)
 
     # The channel's handler.
 
@@ -209,10 +208,11 @@
         """Binds under a name of its own and renames, so that whoever finds the shared name can connect."""
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            self._own_path.unlink(missing_ok=True)
-            listening.bind(str(self._own_path))
+            with contextlib.suppress(FileNotFoundError):
+                os.unlink(self._own_path)
+            listening.bind(self._own_path)
             acceptor = Acceptor(listening, lambda waited_since: UpgradeChannel(self))
-            self._own_path.rename(self._path)
+            os.rename(self._own_path, self._path)
         except OSError:
             listening.close()
             raise
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -4,10 +4,13 @@
 
 import asyncio
 from collections.abc import AsyncIterator
+from urllib.parse import unquote
 
 import pytest_asyncio
+from hypothesis import example, given
+from hypothesis import strategies as st
 
-from quota_ingress.net.admin import AdminServer
+from quota_ingress.net.admin import AdminServer, decode_percent
 from tests.net_helpers import (
     HOST,
     read_answer,
@@ -81,6 +84,14 @@
     assert len(asked.named) == 3 and asked.drained == [True, False]
 
 
+@given(st.text(st.sampled_from("%aFé\ufffd/0c9Ee2 +-")))
+@example("s%20%C3%A9%")
+@example("%C3")
+@example("%zz%4")
+def test_names_are_decoded_as_by_the_standard_library(text: str) -> None:
+    assert decode_percent(text) == unquote(text)
+
+
 async def test_callers_that_hold_on_shut_nobody_out(operators: Operators) -> None:
     held = [await asyncio.open_connection(HOST, operators.port) for _ in range(20)]
     for _, writer in held:
