--- /dev/null
+++ b/quota_ingress/net/downstream/host.py
@@ -0,0 +1,32 @@
+"""What all client connections share, as each of them sees it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from quota_ingress.net.descriptors import DescriptorShare
+from quota_ingress.net.downstream.request_parser import RequestParser
+from quota_ingress.net.downstream.stages import ConnectionStages
+from quota_ingress.net.engine.engine import Engine
+from quota_ingress.net.http import MemoryBudget
+
+
+class ConnectionHost(Protocol):
+    """The listener, which client connections belong to."""
+
+    engine: Engine
+    memory_budget: MemoryBudget
+    descriptors: DescriptorShare
+    request_parser: RequestParser
+    stages: ConnectionStages
+    max_idle: int  # connections
+    now: Callable[[], int]  # us
+
+    @property
+    def in_service(self) -> bool:
+        """Whether health checks are answered with 200."""
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether connections end with their responses."""
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -8,12 +8,12 @@
 from quota_ingress.net.acceptor import Acceptor, listening_socket
 from quota_ingress.net.descriptors import DescriptorBudget
 from quota_ingress.net.downstream.close_reason import CloseReason
-from quota_ingress.net.downstream.connection import US_PER_S, ClientConnection
+from quota_ingress.net.downstream.connection import ClientConnection
 from quota_ingress.net.downstream.eviction import evict_one
 from quota_ingress.net.downstream.process_delay import ProcessDelayMonitor
 from quota_ingress.net.downstream.request_parser import RequestParser
-from quota_ingress.net.downstream.stages import ConnectionStages
-from quota_ingress.net.downstream.timeouts import REQUEST_TIMEOUT_STATUS, enforce_timeouts
+from quota_ingress.net.downstream.stages import ConnectionStages, StagedConnection
+from quota_ingress.net.downstream.timeouts import REQUEST_TIMEOUT_STATUS, US_PER_S, enforce_timeouts
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.http import MemoryBudget
 
@@ -50,7 +50,7 @@
         self.max_idle = max(MIN_MAX_IDLE, int(self.descriptors.limit * MAX_IDLE_FRACTION))
         self.now = now
         self.request_parser = RequestParser(engine.settings, engine.index)
-        self.stages: ConnectionStages[ClientConnection] = ConnectionStages()
+        self.stages = ConnectionStages()
         self.stopping = False
         self.handed_over = False
         self.out_of_service = False
@@ -61,7 +61,7 @@
         self.descriptors.on_freed = self.resume_accepting
 
     @property
-    def connections(self) -> set[ClientConnection]:
+    def connections(self) -> set[StagedConnection]:
         """All open connections."""
         return self.stages.open
 
--- /dev/null
+++ b/quota_ingress/net/downstream/read_flow.py
@@ -0,0 +1,74 @@
+"""Pauses and resumes reading from a client, and tells when what is read had come."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from quota_ingress.net.downstream.socket_state import peer_has_left, time_since_last_data_us, unread_bytes
+
+CLIENT_LEFT_CHECK_INTERVAL_S = 0.1  # while reading is paused
+
+
+class ReadFlow:
+    """The reading side of one client connection. Moments are us of the process's clock.
+
+    Attributes:
+        paused: Nothing is read for now (back-pressure).
+        paused_at: When the last pause began.
+    """
+
+    __slots__ = ("_catching_up", "_queued_since", "paused", "paused_at")
+
+    def __init__(self, queued_since: int | None) -> None:
+        """Starts unpaused; `queued_since`: since when the connection may have waited to be accepted."""
+        self._queued_since = queued_since
+        self._catching_up = False  # what came during a pause is not all read yet
+        self.paused = False
+        self.paused_at = 0
+
+    def arrival_time(self, transport: asyncio.Transport, now: int) -> int:
+        """Returns when the data that has just been read came to this machine, at the earliest.
+
+        It may have waited while reading was paused, or for the connection to be accepted.
+        """
+        if self._catching_up:
+            self._catching_up = unread_bytes(transport) > 0
+            return self.paused_at
+        if self._queued_since is None:
+            return now
+        earliest = self._queued_since
+        self._queued_since = None
+        age = time_since_last_data_us(transport)
+        return earliest if age is None else max(earliest, now - age)
+
+    def pause(self, transport: asyncio.Transport, now: int, on_client_left: Callable[[], None]) -> None:
+        """Reads nothing until `resume`, and calls `on_client_left` if the client leaves meanwhile."""
+        self.paused = True
+        self.paused_at = now
+        transport.pause_reading()
+        self._schedule_client_check(transport, on_client_left)
+
+    def resume(self, transport: asyncio.Transport) -> None:
+        """Reads again."""
+        self.paused = False
+        self._catching_up = True
+        transport.resume_reading()
+
+    def _schedule_client_check(
+        self, transport: asyncio.Transport, on_client_left: Callable[[], None]
+    ) -> None:
+        asyncio.get_running_loop().call_later(
+            CLIENT_LEFT_CHECK_INTERVAL_S, self._check_client, transport, on_client_left, self.paused_at
+        )
+
+    def _check_client(
+        self, transport: asyncio.Transport, on_client_left: Callable[[], None], paused_at: int
+    ) -> None:
+        """Looks for the client's end, which is not read during a pause either."""
+        if not self.paused or self.paused_at != paused_at or transport.is_closing():
+            return
+        if peer_has_left(transport):
+            on_client_left()
+        else:
+            self._schedule_client_check(transport, on_client_left)
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -61,15 +61,10 @@
         request_class = self._request_class(message)
         if headers.get(b"expect", b"100-continue").lower() != b"100-continue":
             raise InvalidRequestError(417, "only 100-continue can be expected")
-        plan = self._index.plans.get(headers.get(b"x-plan", b""))
-        if plan is None:
-            raise InvalidRequestError(400, "X-Plan is missing or unknown")
-        request_id = headers.get(b"request-id", b"")
-        if not REQUEST_ID.fullmatch(request_id):
-            raise InvalidRequestError(400, "Request-Id is missing or invalid")
-        key = headers.get(b"idempotency-key", b"")
-        if self._needs_key[request_class] and not IDEMPOTENCY_KEY.fullmatch(key):
-            raise InvalidRequestError(400, "Idempotency-Key is missing or invalid")
+        plan = self._plan(headers.get(b"x-plan", b""))
+        request_id = _request_id(headers.get(b"request-id", b""))
+        if self._needs_key[request_class]:
+            _check_idempotency_key(headers.get(b"idempotency-key", b""))
         customer = _customer(headers.get(b"cookie", b""))
         timeout = self._timeout(headers.get(b"request-timeout", b""), request_class)
         quota = self._quota(headers.get(b"x-quota", b""), plan)
@@ -105,6 +100,12 @@
             raise InvalidRequestError(400, "GET takes no body")
         return request_class
 
+    def _plan(self, name: bytes) -> int:
+        plan = self._index.plans.get(name)
+        if plan is None:
+            raise InvalidRequestError(400, "X-Plan is missing or unknown")
+        return plan
+
     def _timeout(self, text: bytes, request_class: int) -> int:
         """Returns the time that the client waits, in us, up to the class's deadline."""
         deadline = self._settings.classes[request_class].deadline
@@ -157,6 +158,17 @@
     return head
 
 
+def _request_id(text: bytes) -> bytes:
+    if not REQUEST_ID.fullmatch(text):
+        raise InvalidRequestError(400, "Request-Id is missing or invalid")
+    return text
+
+
+def _check_idempotency_key(key: bytes) -> None:
+    if not IDEMPOTENCY_KEY.fullmatch(key):
+        raise InvalidRequestError(400, "Idempotency-Key is missing or invalid")
+
+
 def _customer(cookie_header: bytes) -> int:
     """Returns the customer's number, from the one cookie that gives it in 16 hex digits."""
     cookies = CUSTOMER_COOKIE.findall(cookie_header)
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -2,12 +2,41 @@
 
 from __future__ import annotations
 
-from typing import Generic, TypeVar
+from typing import Protocol
 
-ConnectionT = TypeVar("ConnectionT")
+from quota_ingress.net.downstream.close_reason import CloseReason
 
 
-class ConnectionStages(Generic[ConnectionT]):
+class StagedConnection(Protocol):
+    """A client connection, as timeouts, eviction and shutdown see it. Moments are us."""
+
+    @property
+    def is_busy(self) -> bool:
+        """Whether some of a request has come that is not answered."""
+
+    def is_too_slow(self, now: int) -> bool:
+        """Whether a body comes more slowly than any client sends, or comes no more."""
+
+    def is_stalled(self, before: int) -> bool:
+        """Whether it began a head, and has sent nothing more since before that moment."""
+
+    def note_read_progress(self, now: int) -> None:
+        """Notes whether the client has read on since the last call."""
+
+    def reject_unreadable(self, status: int) -> None:
+        """Ends it over a request that cannot be read, or does not come whole."""
+
+    def close_if_idle(self, reason: CloseReason = CloseReason.IDLE) -> bool:
+        """Closes it between requests, but not if one waits unread. Returns whether it did."""
+
+    def evict_incomplete(self) -> None:
+        """Closes it in the middle of a head."""
+
+    def abort(self, reason: CloseReason) -> None:
+        """Closes it at once, with what is still to be written."""
+
+
+class ConnectionStages:
     """All open connections, by stage.
 
     Mappings tell the moment (us) since when a connection is in a stage, the longest first. A connection is in
@@ -25,20 +54,20 @@
     """
 
     def __init__(self) -> None:
-        self.open: set[ConnectionT] = set()
-        self.awaiting_first_request: dict[ConnectionT, int] = {}
-        self.receiving_head: dict[ConnectionT, int] = {}
-        self.idle: dict[ConnectionT, int] = {}
-        self.receiving_body: set[ConnectionT] = set()
-        self.write_blocked: dict[ConnectionT, int] = {}
-        self.lingering: dict[ConnectionT, int] = {}
-
-    def add(self, connection: ConnectionT, now: int) -> None:
+        self.open: set[StagedConnection] = set()
+        self.awaiting_first_request: dict[StagedConnection, int] = {}
+        self.receiving_head: dict[StagedConnection, int] = {}
+        self.idle: dict[StagedConnection, int] = {}
+        self.receiving_body: set[StagedConnection] = set()
+        self.write_blocked: dict[StagedConnection, int] = {}
+        self.lingering: dict[StagedConnection, int] = {}
+
+    def add(self, connection: StagedConnection, now: int) -> None:
         """Takes in a connection that is up."""
         self.open.add(connection)
         self.awaiting_first_request[connection] = now
 
-    def remove(self, connection: ConnectionT) -> None:
+    def remove(self, connection: StagedConnection) -> None:
         """Takes out a connection that has ended."""
         self.open.discard(connection)
         self.receiving_body.discard(connection)
@@ -46,39 +75,48 @@
         self.write_blocked.pop(connection, None)
         self.lingering.pop(connection, None)
 
-    def start_head(self, connection: ConnectionT, now: int) -> None:
+    def start_head(self, connection: StagedConnection, now: int) -> None:
         """The first byte of a request has come."""
         if self.idle.pop(connection, None) is not None:
             self.receiving_head[connection] = now
 
-    def start_request(self, connection: ConnectionT) -> None:
+    def start_request(self, connection: StagedConnection) -> None:
         """The head of a request is complete."""
         self.receiving_head.pop(connection, None)
         self.idle.pop(connection, None)
 
-    def accept_first_request(self, connection: ConnectionT) -> None:
+    def accept_first_request(self, connection: StagedConnection) -> None:
         """A valid request has come."""
         self.awaiting_first_request.pop(connection, None)
 
-    def finish_request(self, connection: ConnectionT, now: int, next_begun: bool) -> None:
-        """A request has had its response, and no whole one waits behind it."""
-        stage = self.receiving_head if next_begun else self.idle
-        stage[connection] = now
+    def wait_for_head(self, connection: StagedConnection, now: int) -> None:
+        """A request has had its response, and the next one has begun."""
+        self.receiving_head[connection] = now
+        self.awaiting_first_request.pop(connection, None)
+
+    def park_idle(self, connection: StagedConnection, now: int, max_idle: int) -> None:
+        """A request has had its response, and nothing of the next one has come.
+
+        Closes the longest idle connection if there are more than `max_idle`.
+        """
+        self.idle[connection] = now
+        if len(self.idle) > max_idle:
+            next(iter(self.idle)).close_if_idle()
         self.awaiting_first_request.pop(connection, None)
 
-    def start_lingering(self, connection: ConnectionT, now: int) -> None:
+    def start_lingering(self, connection: StagedConnection, now: int) -> None:
         """The last response has been written, and the client is still sending."""
         self.leave_quiet_stages(connection)
         self.lingering[connection] = now
 
-    def leave_quiet_stages(self, connection: ConnectionT) -> None:
+    def leave_quiet_stages(self, connection: StagedConnection) -> None:
         """Takes the connection out of the stages with no request open."""
         self.awaiting_first_request.pop(connection, None)
         self.receiving_head.pop(connection, None)
         self.idle.pop(connection, None)
 
 
-def in_stage_since_before(stage: dict[ConnectionT, int], before: int) -> list[ConnectionT]:
+def in_stage_since_before(stage: dict[StagedConnection, int], before: int) -> list[StagedConnection]:
     """Returns the connections that have been in a stage since before that moment (us)."""
     found = []
     for connection, since in stage.items():
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -51,7 +51,7 @@
             budget=budget or MemoryBudget(),
             reuse_failures=self._reuse_failures,
             event_log=self._event_log,
-            max_idle_connections=min(MAX_IDLE_PER_BACKEND, max(1, MAX_FLEET_IDLE_PER_BACKEND // fleet_size)),
+            max_idle_connections=_max_idle_connections(fleet_size),
             idle_timeout_s=idle_timeout_us / US_PER_S * IDLE_TIMEOUT_FRACTION,
             connect_timeout_s=connect_timeout_us / US_PER_S,
         )
@@ -146,3 +146,8 @@
             pool.close_expired()
             pool.fail_stalled(since=self._loop.time() - STALL_TIMEOUT_S)
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+
+def _max_idle_connections(fleet_size: int) -> int:
+    """Returns how many idle connections to one backend are kept."""
+    return min(MAX_IDLE_PER_BACKEND, max(1, MAX_FLEET_IDLE_PER_BACKEND // fleet_size))
--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -45,7 +45,7 @@
     writer.write(b"".join(request(f"r{n}", timeout="2000m") for n in range(10)))
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     (connection,) = ingress.listener.connections
-    while not connection._read_paused:
+    while not connection._read_flow.paused:
         await asyncio.sleep(0.001)
     writer.write(request("late", timeout="2000m"))
     sent = time.monotonic()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -10,7 +10,7 @@
 import pytest
 import pytest_asyncio
 
-from quota_ingress.net.downstream import connection as connection_module
+from quota_ingress.net.downstream import read_flow
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.upstream.close_reason import UpstreamCloseReason
 from quota_ingress.net.upstream.exchange import Exchange
@@ -46,7 +46,7 @@
 @pytest_asyncio.fixture
 async def ingress(backend: PeerServer, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Ingress]:
     """A connection that is not read is not looked at by itself: only attempts tell."""
-    monkeypatch.setattr(connection_module, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
+    monkeypatch.setattr(read_flow, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     ingress = Ingress(Script())
     await ingress.start()
     ingress.engine.update_endpoints(listing(backend.port))
@@ -93,7 +93,7 @@
     await backend.until(lambda: asked(backend) == before)
     if sent is MANY:
         (connection,) = ingress.listener.connections
-        while not connection._read_paused:
+        while not connection._read_flow.paused:
             await asyncio.sleep(0)
     (pool,) = ingress.backends._pools.values()
     if "timer" in begins:
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_ingress.net.downstream import connection as connection_module
+from quota_ingress.net.downstream import read_flow
 from quota_ingress.net.upstream.exchange import Exchange
 from quota_ingress.net.upstream.pool import ConnectionPool
 from quota_ingress.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
@@ -34,7 +34,7 @@
     writer.write(b"".join(request(f"r{n}") for n in range(9)) + request("s0") * 20)
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
-    while not connection._read_paused:
+    while not connection._read_flow.paused:
         await asyncio.sleep(0)
     await left(writer)
     await ingress.script.seen(ClientDisconnected)
@@ -48,12 +48,12 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer to the first comes before anybody has looked whether the client is there."""
-    monkeypatch.setattr(connection_module, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
+    monkeypatch.setattr(read_flow, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(12)))
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
-    while not connection._read_paused:
+    while not connection._read_flow.paused:
         await asyncio.sleep(0)
     await left(writer)
     backend.peers[0].transport.write(OK)
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -14,7 +14,7 @@
 from quota_ingress import __main__ as main_module
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.downstream import connection as connection_module
+from quota_ingress.net.downstream import timeouts
 from quota_ingress.net.upstream.exchange import Exchange
 from quota_ingress.net.upstream.pool import ConnectionPool
 from quota_ingress.policy.gateway import Gateway
@@ -168,7 +168,7 @@
         await asyncio.sleep(0)
     ingress.listener.begin_shutdown()
     ingress.listener.close_remaining()
-    async with asyncio.timeout(connection_module.HEAD_TIMEOUT_S - 0.5):  # no sweep has ended them first
+    async with asyncio.timeout(timeouts.HEAD_TIMEOUT_S - 0.5):  # no sweep has ended them first
         assert await silent.read() == b""
         assert (await half.read()).startswith(b"HTTP/1.1 408 ")
     silent_writer.close()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_ingress.net.downstream.connection import MAX_BUFFERED_REQUEST_BYTES
+from quota_ingress.net.downstream.pipeline import MAX_BUFFERED_REQUEST_BYTES
 from quota_ingress.net.engine.requests import ParsedRequest
 from quota_ingress.net.http import BODY_BUFFER_BYTES, Body, MemoryBudget
 from quota_ingress.policy.actions import Action, Reject, SendAttempt
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.downstream import timeouts as timeouts_module
+from quota_ingress.net.downstream.connection import ClientConnection
 from quota_ingress.net.downstream.stages import ConnectionStages
 from quota_ingress.net.http import MemoryBudget
 from quota_ingress.policy.events import (
@@ -89,7 +89,7 @@
     writer.write(MEGABYTE + MEGABYTE)
     await pair.ingress.script.seen(RequestArrived)
     await pair.heard(MEGABYTE)
-    monkeypatch.setattr(connection_module, "HEAD_TIMEOUT_S", -1000.0)
+    monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", -1000.0)
     pair.ingress.listener._sweep()
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
@@ -103,14 +103,14 @@
     class Nobody:
         memory_budget = MemoryBudget()
         engine = None
-        stages: ConnectionStages[object] = ConnectionStages()
+        stages = ConnectionStages()
 
-    connection = connection_module.ClientConnection(Nobody())  # type: ignore[arg-type]
-    connection._request, body = connection.reader.message, connection.reader.message.body
+    connection = ClientConnection(Nobody())  # type: ignore[arg-type]
+    connection._pipeline.current, body = connection.reader.message, connection.reader.message.body
     body.append(b"x" * 160_000)  # five seconds' worth, behind 2.5 s for the head
     connection._last_data_at = 7_000_000
     assert not connection.is_too_slow(7_400_000) and connection.is_too_slow(7_600_000)
     body.append(b"x" * 10_000_000)  # it was fast, and then it stopped
     assert not connection.is_too_slow(8_900_000) and connection.is_too_slow(9_100_000)
-    connection._read_paused = True  # held up here: that time is not the client's
+    connection._read_flow.paused = True  # held up here: that time is not the client's
     assert not connection.is_too_slow(60_000_000)
