--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,8 +26,8 @@
 
 
 @pytest.fixture
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections to backends need no rest between an answer and the next request."""
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Connections to backends are reused right after a response."""
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)
 
 
--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -24,7 +24,7 @@
     return int(head.partition(b"Request-Timeout: ")[2].partition(b"m")[0]) / 1000
 
 
-async def test_a_request_behind_another_has_what_is_left_since_it_came(
+async def test_a_pipelined_request_has_the_time_left_since_its_arrival(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     _, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -37,7 +37,7 @@
     writer.close()
 
 
-async def test_a_request_that_came_while_nothing_was_read_has_what_is_left(
+async def test_a_request_that_came_while_reading_was_paused_has_the_time_left(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """More wait than are read ahead: the last ones stay in the socket until there is room."""
@@ -60,7 +60,7 @@
     writer.close()
 
 
-async def test_a_request_that_waited_to_be_accepted_has_what_is_left(
+async def test_a_request_from_the_accept_queue_has_the_time_left(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     ingress.listener.pause_accepting()
@@ -73,7 +73,7 @@
     writer.close()
 
 
-async def test_a_request_whose_time_is_over_when_its_turn_comes_is_not_sent_on(
+async def test_a_request_whose_time_is_over_at_its_turn_is_not_forwarded(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -88,7 +88,7 @@
     writer.close()
 
 
-async def test_a_request_that_waited_in_an_inherited_queue_has_what_is_left(backend: PeerServer) -> None:
+async def test_a_request_from_an_inherited_accept_queue_has_the_time_left(backend: PeerServer) -> None:
     """The process before has ended, and the platform has held the socket until this one listens."""
     with socket.create_server((HOST, 0)) as held:
         _, writer = await asyncio.open_connection(*held.getsockname())
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -107,8 +107,8 @@
         next(iter(pool.busy)).fail_exchange(UpstreamCloseReason.STALLED)
     assert not pool.dials and not pool.busy  # in the same turn of the loop
     assert ingress.script.of(ClientDisconnected)
-    (moot,) = [e for e in ingress.script.of(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
-    assert moot.request_ended and asked(backend) == before
+    (unsent,) = [e for e in ingress.script.of(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
+    assert unsent.request_ended and asked(backend) == before
 
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
@@ -140,7 +140,7 @@
     assert asked(backend) == []
 
 
-async def test_an_attempt_that_nobody_wants_when_its_connection_comes_up_ends_unsent(
+async def test_an_attempt_not_authorized_when_its_connection_comes_up_is_not_sent(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """Also where its request is over for another reason than its client: else it would be out for ever."""
@@ -152,7 +152,7 @@
     assert exchange.over and asked(backend) == [] and ingress.sockets.backends.in_use == 0
 
 
-async def test_an_attempt_whose_body_is_half_written_when_the_client_leaves_goes_no_further(
+async def test_an_attempt_with_a_half_written_body_ends_when_the_client_leaves(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """Also where attempts may not be cancelled: it begins with its last byte, and the backend reads late."""
@@ -170,9 +170,7 @@
     assert ended.outcome is Outcome.NOT_SENT and ended.request_ended
 
 
-async def test_a_client_that_ends_its_sending_is_gone_though_its_connection_cannot_end(
-    ingress: Ingress, backend: PeerServer
-) -> None:
+async def test_a_half_closed_connection_counts_as_a_disconnect(ingress: Ingress, backend: PeerServer) -> None:
     """It reads nothing, so what it was sent holds the connection up: its request was left under way."""
     ingress.script.rule = lambda event: [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) else []
     made = client(ingress, request("r0"))
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -26,7 +26,7 @@
     await writer.wait_closed()  # on loopback, its end is in our socket by now
 
 
-async def test_a_client_that_sends_much_and_leaves_while_it_is_not_read_is_gone(
+async def test_a_client_that_leaves_while_reading_is_paused_is_noticed(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """Reading stops while requests wait, and the client's end came behind them: each was still sent on."""
@@ -44,7 +44,7 @@
     assert not ingress.listener.connections
 
 
-async def test_a_request_behind_another_one_is_not_sent_on_once_its_client_has_left(
+async def test_a_pipelined_request_is_not_forwarded_once_its_client_has_left(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer to the first comes before anybody has looked whether the client is there."""
@@ -63,8 +63,8 @@
     assert asked(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
 
 
-async def test_a_request_whose_client_left_in_the_listeners_line_is_not_sent_on(
-    ingress: Ingress, backend: PeerServer, at_once: None
+async def test_a_request_whose_client_left_in_the_accept_queue_is_not_forwarded(
+    ingress: Ingress, backend: PeerServer, no_reuse_delay: None
 ) -> None:
     """It is read before its client's end, and a kept connection would take it at once."""
     backend.heard = answers(OK)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -24,7 +24,9 @@
 from tests.support.upstream import REQUEST, PooledBackend
 
 
-async def test_connections_are_kept_and_carry_one_request_each(pooled: PooledBackend, at_once: None) -> None:
+async def test_connections_are_reused_for_one_request_at_a_time(
+    pooled: PooledBackend, no_reuse_delay: None
+) -> None:
     assert [await pooled.outcome() for _ in range(3)] == [Outcome.OK] * 3
     assert len(pooled.server.peers) == 1
     both = pooled.send(), pooled.send()
@@ -32,19 +34,19 @@
     assert len(pooled.server.peers) == 2 and pooled.sockets.in_use == 2
 
 
-async def test_no_request_goes_out_on_a_connection_that_the_backend_has_ended(pooled: PooledBackend) -> None:
+async def test_no_request_is_sent_on_a_connection_that_the_backend_has_ended(pooled: PooledBackend) -> None:
     """The end may be in the socket before the loop has read it: a look at the socket tells."""
     assert await pooled.outcome() is Outcome.OK
-    (link,) = pooled.backends._pools[1].idle
+    (connection,) = pooled.backends._pools[1].idle
     pooled.server.peers[0].transport.close()
-    while link.is_alive():  # without going back to the loop's own reading of it
+    while connection.is_alive():  # without going back to the loop's own reading of it
         pooled.server.peers[0].transport.get_extra_info("socket")
         await asyncio.sleep(0)
     assert await pooled.outcome() is Outcome.OK
     assert len(pooled.server.peers) == 2
 
 
-async def test_a_change_looks_only_at_the_pools_that_it_changes(
+async def test_an_update_withdraws_only_from_the_pools_that_it_changes(
     pooled: PooledBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     looked: list[str] = []
@@ -71,8 +73,8 @@
     server.stop()
 
 
-async def test_a_drain_withdraws_what_is_not_written_and_closes_what_is_idle(
-    pooled: PooledBackend, at_once: None
+async def test_draining_withdraws_unwritten_attempts_and_closes_idle_connections(
+    pooled: PooledBackend, no_reuse_delay: None
 ) -> None:
     assert await pooled.outcome() is Outcome.OK
     pooled.server.heard = lambda peer: None
@@ -89,7 +91,7 @@
     await pooled.server.until(lambda: len(pooled.server.closed) == len(pooled.server.peers))
 
 
-async def test_a_name_may_move_to_another_address(pooled: PooledBackend) -> None:
+async def test_a_backend_may_change_its_address(pooled: PooledBackend) -> None:
     assert await pooled.outcome() is Outcome.OK
     other = await PeerServer(answers(OK)).start()
     pooled.list(port=other.port)
@@ -99,7 +101,7 @@
     other.stop()
 
 
-async def test_a_connection_with_something_nobody_asked_for_is_not_used_again(pooled: PooledBackend) -> None:
+async def test_a_connection_with_unsolicited_data_is_not_reused(pooled: PooledBackend) -> None:
     """The start of a second answer behind the first would have garbled the next request's."""
     pooled.server.heard = answers(OK + b"HTTP/1.1 2")
     assert await pooled.outcome() is Outcome.OK
@@ -108,8 +110,8 @@
     assert len(pooled.server.peers) == 2
 
 
-async def test_a_second_copy_of_an_answer_is_never_taken_for_the_next_requests(pooled: PooledBackend) -> None:
-    """Both came in one read; the link had been given back, and the module's next request was on it."""
+async def test_a_duplicate_response_is_never_taken_for_the_next_requests(pooled: PooledBackend) -> None:
+    """Both came in one read; the connection had been given back, and the module's next request was on it."""
     pooled.server.heard = answers(OK + OK)
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
@@ -123,7 +125,7 @@
     assert len(pooled.server.peers) == 2
 
 
-async def test_links_never_take_more_than_the_backends_share(pooled: PooledBackend) -> None:
+async def test_connections_never_exceed_the_descriptor_share(pooled: PooledBackend) -> None:
     pooled.sockets.limit = 2
     pooled.server.heard = lambda peer: None
     sent = [pooled.send() for _ in range(2)]
@@ -131,8 +133,8 @@
     assert not any(s.done() for s in sent)
 
 
-async def test_where_kept_connections_often_end_an_unsafe_request_gets_a_new_one(
-    pooled: PooledBackend, at_once: None
+async def test_where_reused_connections_often_fail_a_non_idempotent_request_gets_a_new_one(
+    pooled: PooledBackend, no_reuse_delay: None
 ) -> None:
     """A reset right at the next request: a safe one is sent again, an unsafe one would have failed."""
     pooled.server.heard = answers_once
@@ -172,10 +174,10 @@
 COPY = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy"
 
 
-async def test_a_late_copy_of_an_answer_is_not_taken_for_the_next_requests(
+async def test_a_late_duplicate_response_is_not_taken_for_the_next_requests(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """It comes once the next request is on its way: only a connection that has rested is surely through."""
+    """It comes once the next request is on its way: only after a delay is the connection surely through."""
     first = asyncio.create_task(ingress.ask(request("r0")))
     await backend.until(lambda: asked(backend) == [b"r0"])
     backend.peers[0].transport.write(OK)
@@ -188,7 +190,7 @@
     assert (await second).endswith(b"warm")
 
 
-async def test_a_connection_that_has_rested_is_used_again(ingress: Ingress, backend: PeerServer) -> None:
+async def test_a_connection_is_reused_after_the_reuse_delay(ingress: Ingress, backend: PeerServer) -> None:
     backend.heard = answers(OK)
     assert (await ingress.ask(request("r0"))).endswith(b"warm")
     (pool,) = ingress.backends._pools.values()
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -27,7 +27,7 @@
 pytestmark = pytest.mark.usefixtures("backend_answers")
 
 
-async def test_a_request_is_served_and_told_to_the_module(ingress: Ingress, backend: PeerServer) -> None:
+async def test_a_request_is_served_and_reaches_the_policy(ingress: Ingress, backend: PeerServer) -> None:
     backend.heard = lambda peer: None
     task = asyncio.create_task(ingress.ask(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1")))
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
@@ -48,7 +48,9 @@
     assert ended.outcome is Outcome.OK and ended.request_ended and ended.load == (3.0,)
 
 
-async def test_a_keyed_request_goes_on_with_its_key(ingress: Ingress, backend: PeerServer) -> None:
+async def test_a_keyed_request_is_forwarded_with_its_idempotency_key(
+    ingress: Ingress, backend: PeerServer
+) -> None:
     backend.heard = lambda peer: None
     body = b"\x00\r\n\r\n\xff" * 30
     data = request(cls="save", Idempotency_Key="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
@@ -71,7 +73,7 @@
         writer.write(request())
         await read_answer(reader)
         held = [weakref.ref(c) for c in ingress.listener.connections]
-        held += [weakref.ref(link) for pool in ingress.backends._pools.values() for link in pool.idle]
+        held += [weakref.ref(c) for pool in ingress.backends._pools.values() for c in pool.idle]
         assert len(held) == 2
         writer.close()
         ingress.backends.close_idle_connections(1)
@@ -82,7 +84,7 @@
         gc.enable()
 
 
-async def test_a_live_id_is_not_taken_twice(ingress: Ingress, backend: PeerServer) -> None:
+async def test_a_request_id_in_use_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
     backend.heard = lambda peer: None
     first = asyncio.create_task(ingress.ask(request("same")))
     await ingress.script.seen(RequestArrived)
@@ -102,9 +104,7 @@
     writer.close()
 
 
-async def test_a_client_that_closes_is_gone_and_its_attempt_is_given_up(
-    ingress: Ingress, backend: PeerServer
-) -> None:
+async def test_a_client_that_closes_cancels_its_attempt(ingress: Ingress, backend: PeerServer) -> None:
     backend.heard = lambda peer: None
     script = ingress.script
     cancel = [CancelAttempt(1, 0)]
@@ -118,14 +118,16 @@
     await backend.until(lambda: len(backend.closed) == 1)
 
 
-async def test_what_the_module_leaves_open_is_failed_before_the_deadline(ingress: Ingress) -> None:
+async def test_a_request_without_a_decision_fails_before_its_deadline(ingress: Ingress) -> None:
     ingress.script.rule = lambda event: []
     answer = await ingress.ask(request(timeout="150m"))
     assert answer.startswith(b"HTTP/1.1 504 ")
     await ingress.script.seen(ClientDisconnected)
 
 
-async def test_a_refusal_carries_the_wait_and_max_open_is_kept_from_the_module(ingress: Ingress) -> None:
+async def test_a_rejection_carries_retry_after_and_excess_requests_never_reach_the_policy(
+    ingress: Ingress,
+) -> None:
     ingress.script.rule = lambda event: [Reject(1, 250_000)]
     answer = await ingress.ask(request())
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Retry-After: 0.250\r\n" in answer
@@ -135,7 +137,7 @@
     ingress.engine.in_flight = 0
 
 
-async def test_a_module_error_does_not_end_the_process(ingress: Ingress) -> None:
+async def test_a_policy_error_does_not_end_the_process(ingress: Ingress) -> None:
     def broken(event: Event) -> list[Action]:
         raise RuntimeError("made up")
 
@@ -145,7 +147,7 @@
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
 
 
-async def test_hundreds_of_requests_at_once_are_answered_in_turn_and_reading_waits(ingress: Ingress) -> None:
+async def test_hundreds_of_pipelined_requests_are_answered_in_order(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"p{n}") for n in range(300)))
     for _ in range(300):
@@ -155,7 +157,7 @@
     writer.close()
 
 
-async def test_what_a_client_leaves_unread_is_bounded_and_then_its_connection_is_closed(
+async def test_unread_responses_are_bounded_and_then_the_connection_is_closed(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backend.heard = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000)
@@ -187,7 +189,7 @@
     return [part[:3] for part in data.split(b"HTTP/1.1 ")[1:]]
 
 
-async def test_over_the_clients_share_all_that_has_come_is_answered(ingress: Ingress) -> None:
+async def test_above_the_descriptor_share_all_pipelined_requests_are_answered(ingress: Ingress) -> None:
     ingress.listener.descriptors.limit = 0
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1") + request("r2"))
@@ -196,7 +198,7 @@
     writer.close()
 
 
-async def test_requests_read_together_as_the_process_ends_are_all_answered(ingress: Ingress) -> None:
+async def test_pipelined_requests_at_the_process_end_are_all_answered(ingress: Ingress) -> None:
     """The first one was refused at once, with a close, before the second was looked at."""
     ingress.listener.begin_shutdown()
     ingress.engine.fail_all()
@@ -207,14 +209,14 @@
     writer.close()
 
 
-async def test_a_sound_request_behind_an_unsound_one_is_answered(ingress: Ingress) -> None:
+async def test_a_valid_request_behind_an_invalid_one_is_answered(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", X_Plan="tin") + request("r1"))
     assert await statuses(reader, 2) == [b"400", b"200"]
     writer.close()
 
 
-async def test_a_request_unread_in_the_moment_of_the_last_answer_is_answered(
+async def test_a_request_unread_at_the_last_response_is_answered(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """It was left unread, and the close over it reset the connection."""
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -26,7 +26,7 @@
     return [part[:3] for part in data.split(b"HTTP/1.1 ")[1:]]
 
 
-async def test_with_few_descriptors_idle_connections_go_first_and_then_requests_are_refused(
+async def test_idle_connections_are_evicted_before_requests_are_rejected(
     ingress: Ingress,
 ) -> None:
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 3, 5
@@ -52,7 +52,7 @@
         writer.close()
 
 
-async def test_those_that_ask_once_and_stay_do_not_use_up_the_connections(ingress: Ingress) -> None:
+async def test_idle_connections_above_the_maximum_are_closed(ingress: Ingress) -> None:
     """The clients in front have only so many to an ingress: 124 idle ones left none for requests."""
     ingress.listener.max_idle = 3
     held = []
@@ -68,7 +68,7 @@
         writer.close()
 
 
-async def test_hundreds_that_say_nothing_crowd_nobody_out(ingress: Ingress) -> None:
+async def test_silent_connections_are_evicted_before_those_with_requests(ingress: Ingress) -> None:
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 20, 30
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first"))
@@ -82,7 +82,7 @@
         other.close()
 
 
-async def test_those_that_stop_in_a_head_make_room_and_those_that_are_slow_do_not(
+async def test_connections_stalled_in_a_head_are_evicted_and_slow_ones_are_not(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 4, 8
@@ -138,7 +138,7 @@
     writer.close()
 
 
-async def test_a_connection_that_has_just_come_up_makes_room_last(ingress: Ingress) -> None:
+async def test_a_fresh_connection_is_evicted_last(ingress: Ingress) -> None:
     """Its first request is on its way: one that rests between requests goes before it."""
     resting = await asyncio.open_connection(HOST, ingress.port)
     resting[1].write(request("r0"))
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -20,7 +20,7 @@
 pytestmark = pytest.mark.usefixtures("backend_answers")
 
 
-async def test_stopping_closes_idle_connections_and_finishes_what_was_taken(
+async def test_draining_closes_idle_connections_and_finishes_open_requests(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     backend.heard = lambda peer: None
@@ -40,7 +40,7 @@
     idle_writer.close()
 
 
-async def test_at_a_stop_a_connection_that_has_not_asked_yet_may_still_ask(ingress: Ingress) -> None:
+async def test_while_draining_a_connection_may_still_send_its_first_request(ingress: Ingress) -> None:
     """Slow clients' first requests were turned back: their connections were closed as silent."""
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
@@ -55,7 +55,7 @@
     writer.close()
 
 
-async def test_at_the_top_clients_wait_in_line_and_lose_nothing(ingress: Ingress) -> None:
+async def test_above_the_hard_limit_clients_wait_in_the_accept_queue(ingress: Ingress) -> None:
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 3, 3
     ingress.script.rule = lambda event: []
     ends = []
--- a/tests/test_message_reader.py
+++ b/tests/test_message_reader.py
@@ -27,7 +27,7 @@
     writer.close()
 
 
-async def test_white_space_behind_a_value_is_no_part_of_it(pair: IngressAndBackend) -> None:
+async def test_trailing_white_space_is_no_part_of_a_value(pair: IngressAndBackend) -> None:
     """Answers with `chunked ` for their coding were taken for ones that cannot be read: 59 to 87 on a day."""
     first, *lines = save("Transfer-Encoding: chunked").split(b"\r\n")[:-2]
     head = b" \t\r\n".join(line for line in lines if b"chunked" not in line)
@@ -40,7 +40,7 @@
     writer.close()
 
 
-async def test_a_client_that_expects_a_continue_gets_one_and_then_its_answer(pair: IngressAndBackend) -> None:
+async def test_an_expected_100_continue_precedes_the_response(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(save("Content-Length: 4", Expect="100-continue"))
     async with asyncio.timeout(10):
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -52,7 +52,7 @@
     writer.close()
 
 
-async def test_an_expectation_is_not_met_for_what_is_refused(pair: IngressAndBackend) -> None:
+async def test_a_rejected_request_gets_no_100_continue(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(save("Content-Length: 4", Expect="100-continue", X_Plan="tin"))
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
     other, other_writer = await pair.connect(save("Content-Length: 4", Expect="a-miracle"))
@@ -61,7 +61,7 @@
         each.close()
 
 
-async def test_head_is_answered_with_a_head_alone(pair: IngressAndBackend) -> None:
+async def test_a_response_to_head_has_no_body(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(request("h1").replace(b"GET", b"HEAD"))
     peer = await pair.heard()
     assert peer.data.startswith(b"HEAD /read/x?y=1 HTTP/1.1\r\n")
@@ -76,7 +76,7 @@
     writer.close()
 
 
-async def test_a_wish_to_switch_protocols_is_passed_over_with_its_body(pair: IngressAndBackend) -> None:
+async def test_a_request_to_upgrade_is_ignored_and_its_body_kept(pair: IngressAndBackend) -> None:
     wish = {"Connection": "Upgrade", "Upgrade": "h2c"}
     reader, writer = await pair.connect(save("Content-Length: 4", **wish) + b"four" + request("b2"))
     peer = await pair.heard(b"four")
@@ -86,7 +86,7 @@
     writer.close()
 
 
-async def test_the_absolute_form_reaches_the_backend_as_a_path(pair: IngressAndBackend) -> None:
+async def test_the_absolute_form_is_forwarded_as_a_path(pair: IngressAndBackend) -> None:
     _, writer = await pair.connect(request().replace(b"GET /", b"GET http://app.svc/"))
     assert (await pair.heard()).data.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n")
     writer.close()
@@ -107,9 +107,7 @@
         (save("Transfer-Encoding: chunked") + b"0\r\n" + b"T: x\r\n" * 5000 + b"\r\n", b"431"),
     ],
 )
-async def test_what_could_smuggle_a_request_in_is_refused(
-    pair: IngressAndBackend, data: bytes, status: bytes
-) -> None:
+async def test_request_smuggling_is_rejected(pair: IngressAndBackend, data: bytes, status: bytes) -> None:
     reader, writer = await pair.connect(data)
     answer = await read_answer(reader)
     assert answer.split(b" ")[1] == status and b"Connection: close" in answer
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -62,7 +62,7 @@
         (request(cls="save", Idempotency_Key="a b"), b"400"),
     ],
 )
-async def test_bad_input_gets_a_plain_4xx_and_a_close_and_harms_nobody(
+async def test_an_invalid_request_gets_a_4xx_and_a_close(
     ingress: Ingress, caplog: pytest.LogCaptureFixture, data: bytes, status: bytes
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
--- a/tests/test_retry_races.py
+++ b/tests/test_retry_races.py
@@ -25,8 +25,6 @@
     request,
 )
 
-# Repeats, through the real module.
-
 
 @pytest_asyncio.fixture
 async def two() -> AsyncIterator[tuple[Ingress, list[PeerServer]]]:
@@ -50,7 +48,7 @@
 
 
 @pytest.mark.parametrize("cls", ["read", "order"])
-async def test_an_attempt_chosen_before_a_drain_and_not_written_goes_elsewhere(
+async def test_an_unwritten_attempt_at_a_draining_backend_is_retried_elsewhere(
     two: tuple[Ingress, list[PeerServer]], monkeypatch: pytest.MonkeyPatch, cls: str
 ) -> None:
     """Its connection comes up right after the list; it never ran, so an unsafe one may go on, too."""
@@ -80,8 +78,8 @@
     assert chosen == [f"s-{leaving}", f"s-{1 - leaving}"]
 
 
-async def test_a_reset_after_the_last_byte_ends_an_unsafe_request_and_repeats_a_safe_one(
-    two: tuple[Ingress, list[PeerServer]], at_once: None
+async def test_a_reset_after_the_last_byte_fails_a_non_idempotent_request_and_retries_others(
+    two: tuple[Ingress, list[PeerServer]], no_reuse_delay: None
 ) -> None:
     """On connections that were kept, and die under the next request."""
     ingress, servers = two
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -24,8 +24,8 @@
 from tests.support.streaming import MEGABYTE, IngressAndBackend, read_chunked, save
 
 
-async def test_a_long_answer_goes_on_as_it_comes_and_the_connection_lives_on(
-    pair: IngressAndBackend, at_once: None
+async def test_a_long_response_is_streamed_and_the_connection_is_kept_alive(
+    pair: IngressAndBackend, no_reuse_delay: None
 ) -> None:
     reader, writer = await pair.connect(request("a1"))
     peer = await pair.heard()
@@ -48,7 +48,9 @@
 
 
 @pytest.mark.parametrize("ending", ["chunks", "close"])
-async def test_an_answer_of_unknown_length_goes_on_in_chunks(pair: IngressAndBackend, ending: str) -> None:
+async def test_a_response_of_unknown_length_is_streamed_in_chunks(
+    pair: IngressAndBackend, ending: str
+) -> None:
     reader, writer = await pair.connect(request())
     peer = await pair.heard()
     if ending == "chunks":
@@ -79,7 +81,7 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1048576", b"Transfer-Encoding: chunked"])
-async def test_an_answer_cut_short_looks_cut_short(pair: IngressAndBackend, framing: bytes) -> None:
+async def test_a_truncated_response_is_recognizable(pair: IngressAndBackend, framing: bytes) -> None:
     reader, writer = await pair.connect(request())
     peer = await pair.heard()
     part = MEGABYTE[:300_000]
@@ -95,7 +97,7 @@
     writer.close()
 
 
-async def test_a_client_that_does_not_read_holds_up_the_backend_and_not_the_memory(
+async def test_a_client_that_does_not_read_causes_back_pressure_on_the_backend(
     pair: IngressAndBackend,
 ) -> None:
     reader, writer = await pair.connect(request())
@@ -120,7 +122,7 @@
     writer.close()
 
 
-async def test_a_client_that_goes_in_mid_answer_ends_the_attempt(pair: IngressAndBackend) -> None:
+async def test_a_client_that_leaves_in_mid_response_ends_the_attempt(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(request())
     peer = await pair.heard()
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n" + MEGABYTE[:200_000])
@@ -133,7 +135,9 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-async def test_a_long_body_goes_on_as_the_backend_takes_it(pair: IngressAndBackend, chunked: bool) -> None:
+async def test_a_long_body_is_streamed_as_the_backend_takes_it(
+    pair: IngressAndBackend, chunked: bool
+) -> None:
     body = MEGABYTE * 8
     framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {len(body)}"
     reader, writer = await pair.connect(save(framing))
@@ -172,7 +176,7 @@
     writer.close()
 
 
-async def test_a_body_that_fits_is_sent_again_to_another_connection(pair: IngressAndBackend) -> None:
+async def test_a_buffered_body_is_sent_again_on_another_connection(pair: IngressAndBackend) -> None:
     body, script = MEGABYTE[: 4 * BODY_BUFFER_BYTES], pair.ingress.script
 
     def twice(event: Event) -> list[Action]:
@@ -190,7 +194,7 @@
     writer.close()
 
 
-async def test_a_body_that_has_partly_gone_is_not_sent_again(pair: IngressAndBackend) -> None:
+async def test_a_partly_discarded_body_is_not_sent_again(pair: IngressAndBackend) -> None:
     def again(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_SENT:
             return [Reject(1, 250_000)]
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("start", [b"", b"GET /read HT", request("x", "order")[:-4]])
 @pytest.mark.usefixtures("backend_answers")
-async def test_a_client_that_does_not_finish_is_told_so_and_closed(
+async def test_an_incomplete_request_times_out_with_408(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch, start: bytes
 ) -> None:
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.usefixtures("backend_answers")
-async def test_a_later_request_has_its_own_time_and_an_idle_connection_is_closed_in_the_end(
+async def test_a_later_request_has_its_own_timeout_and_idle_connections_expire(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.usefixtures("backend_answers")
-async def test_the_sweep_outlives_connections_that_are_being_closed(ingress: Ingress) -> None:
+async def test_the_sweep_survives_connections_that_are_being_closed(ingress: Ingress) -> None:
     """Their descriptors are closed before the loop tells of their end: the kernel knows them no more."""
     ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
     ends[0][1].write(request("x")[:20])
@@ -82,7 +82,7 @@
         writer.close()
 
 
-async def test_a_client_that_stops_in_a_long_body_is_told_and_the_attempt_never_ran(
+async def test_a_body_that_stalls_times_out_and_its_attempt_is_cancelled(
     pair: IngressAndBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reader, writer = await pair.connect(save(f"Content-Length: {4 * len(MEGABYTE)}"))
@@ -99,7 +99,7 @@
     writer.close()
 
 
-def test_a_body_is_given_time_by_its_progress() -> None:
+def test_the_timeout_of_a_body_grows_with_its_progress() -> None:
     class Nobody:
         memory_budget = MemoryBudget()
         engine = None
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -26,7 +26,7 @@
         (b"garbage\r\n\r\n", Outcome.ERROR),
     ],
 )
-async def test_outcomes_of_answers(pooled: PooledBackend, reply: bytes, outcome: Outcome) -> None:
+async def test_outcomes_of_responses(pooled: PooledBackend, reply: bytes, outcome: Outcome) -> None:
     pooled.server.heard = answers(reply)
     assert await pooled.outcome() is outcome
 
@@ -82,25 +82,25 @@
     assert pooled.sockets.in_use == 0
 
 
-async def test_giving_up_ends_the_connection_before_anything_else_is_sent(pooled: PooledBackend) -> None:
+async def test_aborting_closes_the_connection_before_anything_else_is_sent(pooled: PooledBackend) -> None:
     seen: list[int] = []
     pooled.server.heard = lambda peer: seen.append(len(pooled.server.peers))
     pooled.send()
     await pooled.server.until(lambda: len(seen) == 1)
-    (link,) = pooled.backends._pools[1].busy
+    (connection,) = pooled.backends._pools[1].busy
     assert pooled.exchange.abort() is True
     with pytest.raises(BrokenPipeError):  # our sending has ended, in the very same step
-        link.sock.send(b"x")
+        connection.sock.send(b"x")
     await pooled.server.until(lambda: len(pooled.server.closed) == 1)
     assert pooled.sockets.in_use == 0
 
 
-async def test_an_attempt_given_up_while_connecting_never_ran(pooled: PooledBackend) -> None:
+async def test_an_attempt_aborted_while_connecting_never_ran(pooled: PooledBackend) -> None:
     pooled.send()
     assert pooled.exchange.abort() is False
 
 
-async def test_probes_are_answered_or_given_up(pooled: PooledBackend) -> None:
+async def test_health_checks_are_answered_or_time_out(pooled: PooledBackend) -> None:
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     pooled.backends.probe(1, done.set_result)
     assert (await done).outcome is Outcome.OK
@@ -110,7 +110,7 @@
     assert (await silent).outcome is Outcome.TIMEOUT
 
 
-async def test_an_answer_too_long_is_given_up_at_its_head(pooled: PooledBackend) -> None:
+async def test_a_response_too_long_to_buffer_fails_at_its_head(pooled: PooledBackend) -> None:
     pooled.server.heard = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
     assert await pooled.outcome() is Outcome.ERROR  # though none of the body has come
 
@@ -125,8 +125,6 @@
         b"Transfer-Encoding: chunked\r\nContent-Length: 4",
     ],
 )
-async def test_an_answer_with_an_odd_head_may_have_run_and_serves_nobody(
-    pooled: PooledBackend, head: bytes
-) -> None:
+async def test_a_response_with_a_malformed_head_may_have_run(pooled: PooledBackend, head: bytes) -> None:
     pooled.server.heard = answers(b"HTTP/1.1 200 OK\r\n%b\r\n\r\nwarm" % head)
     assert await pooled.outcome() is Outcome.ERROR  # a reset would say that the backend is down
