--- a/quota_ingress/net/engine/ports.py
+++ b/quota_ingress/net/engine/ports.py
@@ -80,26 +80,26 @@
         self,
         backend: int,
         head: bytes,
-        ended: Callable[[AttemptResult], None],
-        once: bool = False,
+        on_ended: Callable[[AttemptResult], None],
+        non_idempotent: bool = False,
         body: Body | None = None,
-        started: Callable[[AttemptResult], None] | None = None,
-        permit: Callable[[], bytes | None] = ...,
+        on_stream_started: Callable[[AttemptResult], None] | None = None,
+        authorize: Callable[[], bytes | None] = ...,
     ) -> Exchange:
         """Begins an attempt.
 
         Args:
             backend: The endpoint's number.
             head: The request's head but for its last lines.
-            ended: Is called once with the result.
-            once: The request must not be written a second time, on another connection.
+            on_ended: Is called once with the result.
+            non_idempotent: The request must not be written a second time, on another connection.
             body: The request's body, where it is forwarded as it comes.
-            started: Is called with a response that is passed on as it comes, before `ended`.
-            permit: Is asked in the moment of the write, and returns the rest of the data, which depends on
+            on_stream_started: Is called with a response that is streamed, before `on_ended`.
+            authorize: Is asked in the moment of the write, and returns the rest of the data, which depends on
                 that moment; None: the attempt may not begin any more, and ends as NOT_SENT.
         """
 
-    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None:
+    def probe(self, backend: int, on_ended: Callable[[AttemptResult], None]) -> None:
         """Checks an endpoint's health."""
 
     def close_idle_connections(self, backend: int) -> None:
--- a/quota_ingress/net/http/message_reader.py
+++ b/quota_ingress/net/http/message_reader.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import math
+from abc import ABC, abstractmethod
 from collections.abc import Callable
 from typing import ClassVar, NoReturn
 
@@ -63,7 +64,7 @@
         self.is_http_1_0 = False
 
 
-class MessageReader:
+class MessageReader(ABC):
     """Reads one direction of a connection; a subclass for each kind of message.
 
     Its `on_...` methods are httptools' callbacks.
@@ -127,16 +128,17 @@
         self._parser = None
         self.on_message_started = _do_nothing
 
+    @abstractmethod
     def _new_parser(self) -> httptools.HttpRequestParser | httptools.HttpResponseParser:
-        raise NotImplementedError
+        """Returns httptools' parser for this kind of message, with this reader for its callbacks."""
 
+    @abstractmethod
     def _read_start_line(self, message: Message) -> None:
         """Fills in what is particular to a request or a response, and the length of the body."""
-        raise NotImplementedError
 
+    @abstractmethod
     def _continue_after_upgrade(self) -> None:
         """Goes on reading HTTP after a message that asked for another protocol."""
-        raise NotImplementedError
 
     def _parse(self, data: bytes) -> None:
         while True:
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -244,3 +244,12 @@
 def asked(backend: PeerServer) -> list[bytes]:
     """The ids that have reached the backend, in the order of connections."""
     return [part[:2] for peer in backend.peers for part in peer.data.split(b"Request-Id: ")[1:]]
+
+
+async def read_statuses(reader: asyncio.StreamReader, count: int) -> list[bytes]:
+    """Of so many answers, in their order; fewer if the connection ends before."""
+    async with asyncio.timeout(5):
+        data = await reader.read(100_000)
+        while data.count(b"HTTP/1.1 ") < count and (more := await reader.read(100_000)):
+            data += more
+    return [part[:3] for part in data.split(b"HTTP/1.1 ")[1:]]
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -20,6 +20,7 @@
     PeerServer,
     answers,
     read_answer,
+    read_statuses,
     request,
     send_first,
 )
@@ -180,20 +181,11 @@
     del reader
 
 
-async def statuses(reader: asyncio.StreamReader, count: int) -> list[bytes]:
-    """Of so many answers, in their order; fewer if the connection ends before."""
-    async with asyncio.timeout(5):
-        data = await reader.read(100_000)
-        while data.count(b"HTTP/1.1 ") < count and (more := await reader.read(100_000)):
-            data += more
-    return [part[:3] for part in data.split(b"HTTP/1.1 ")[1:]]
-
-
 async def test_above_the_descriptor_share_all_pipelined_requests_are_answered(ingress: Ingress) -> None:
     ingress.listener.descriptors.limit = 0
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1") + request("r2"))
-    assert await statuses(reader, 3) == [b"503"] * 3
+    assert await read_statuses(reader, 3) == [b"503"] * 3
     assert await reader.read() == b"" and ingress.engine.event_log.violations == 0
     writer.close()
 
@@ -204,7 +196,7 @@
     ingress.engine.fail_all()
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0") + request("r1"))
-    assert await statuses(reader, 2) == [b"429"] * 2
+    assert await read_statuses(reader, 2) == [b"429"] * 2
     assert await reader.read() == b"" and ingress.engine.event_log.violations == 0
     writer.close()
 
@@ -212,7 +204,7 @@
 async def test_a_valid_request_behind_an_invalid_one_is_answered(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", X_Plan="tin") + request("r1"))
-    assert await statuses(reader, 2) == [b"400", b"200"]
+    assert await read_statuses(reader, 2) == [b"400", b"200"]
     writer.close()
 
 
@@ -237,6 +229,6 @@
     connection.respond = crossed  # type: ignore[method-assign, assignment]
     backend.heard = answers(OK)
     backend.peers[0].transport.write(OK)
-    assert await statuses(reader, 2) == [b"200"] * 2
+    assert await read_statuses(reader, 2) == [b"200"] * 2
     assert await reader.read() == b""
     writer.close()
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -11,21 +11,13 @@
     HOST,
     Ingress,
     read_answer,
+    read_statuses,
     request,
 )
 
 pytestmark = pytest.mark.usefixtures("backend_answers")
 
 
-async def statuses(reader: asyncio.StreamReader, count: int) -> list[bytes]:
-    """Of so many answers, in their order; fewer if the connection ends before."""
-    async with asyncio.timeout(5):
-        data = await reader.read(100_000)
-        while data.count(b"HTTP/1.1 ") < count and (more := await reader.read(100_000)):
-            data += more
-    return [part[:3] for part in data.split(b"HTTP/1.1 ")[1:]]
-
-
 async def test_idle_connections_are_evicted_before_requests_are_rejected(
     ingress: Ingress,
 ) -> None:
@@ -142,7 +134,7 @@
     """Its first request is on its way: one that rests between requests goes before it."""
     resting = await asyncio.open_connection(HOST, ingress.port)
     resting[1].write(request("r0"))
-    assert await statuses(resting[0], 1) == [b"200"]
+    assert await read_statuses(resting[0], 1) == [b"200"]
     fresh = await asyncio.open_connection(HOST, ingress.port)
     async with asyncio.timeout(5):
         while not ingress.listener.stages.awaiting_first_request:
@@ -150,6 +142,6 @@
     assert ingress.listener._evict()
     assert await resting[0].read() == b""
     fresh[1].write(request("r1"))
-    assert await statuses(fresh[0], 1) == [b"200"]
+    assert await read_statuses(fresh[0], 1) == [b"200"]
     for _, writer in (resting, fresh):
         writer.close()
