--- a/quota_ingress/simulator/adapter.py
+++ b/quota_ingress/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""Runs gateways on the simulator's wire: one Gateway for each instance, batches in, replies out."""
+"""Runs gateways on the simulator's wire: batches from standard input, replies to standard output.
+
+One process runs any number of instances, each a Gateway of its own.
+"""
 
 from __future__ import annotations
 
@@ -7,42 +10,60 @@
 
 from quota_ingress.policy.actions import Action
 from quota_ingress.policy.gateway import Gateway
-from quota_ingress.simulator.wire import Created, Decoder, Stopped, WireError, encode_reply
+from quota_ingress.simulator.decoder import Batch, BatchDecoder, InstanceCreated, InstanceStopped
+from quota_ingress.simulator.encoder import encode_reply
+from quota_ingress.simulator.wire import LENGTH, WireError
 
 
-def _read_exactly(stream: BinaryIO, count: int, what: str) -> bytes:
-    data = stream.read(count)
-    if len(data) < count:
-        raise WireError(f"{what}: input ends after {len(data)} of {count} bytes")
-    return data
+class InstanceHost:
+    """The gateways of one process, by instance number."""
 
+    def __init__(self) -> None:
+        self._gateways: dict[int, Gateway] = {}
 
-def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers every batch until the input ends."""
-    decoder = Decoder()
-    gateways: dict[int, Gateway] = {}
-    while head := source.read(4):
-        if len(head) < 4:
-            raise WireError(f"length: input ends after {len(head)} of 4 bytes")
-        batch = decoder.decode(_read_exactly(source, int.from_bytes(head, "little"), "frame"))
-        groups: dict[int, list[Action]] = {}
+    def handle(self, batch: Batch) -> list[tuple[int, list[Action]]]:
+        """Hands the batch's messages to their instances; returns what each of these decided.
+
+        Raises:
+            WireError: A message is for an instance that was not created.
+            ValueError: No gateway can work with the settings of a new instance.
+        """
+        decided: dict[int, list[Action]] = {}
         for instance, message in batch.messages:
-            if isinstance(message, Created):
-                gateways[instance] = Gateway(message.settings, message.seed)
-                groups[instance] = []
-            elif isinstance(message, Stopped):
-                gateways.pop(instance, None)
-                groups.pop(instance, None)
-            elif instance in gateways:
-                actions = gateways[instance].handle(batch.now, message)
-                groups.setdefault(instance, []).extend(actions)
+            if isinstance(message, InstanceCreated):
+                self._gateways[instance] = Gateway(message.settings, message.seed)
+                decided[instance] = []
+            elif isinstance(message, InstanceStopped):
+                self._gateways.pop(instance, None)
+                decided.pop(instance, None)
+            elif instance in self._gateways:
+                actions = self._gateways[instance].handle(batch.now, message)
+                decided.setdefault(instance, []).extend(actions)
             else:
                 raise WireError(f"Context.i: instance {instance} was not created")
-        sink.write(encode_reply(batch.number, list(groups.items())))
+        return list(decided.items())
+
+
+def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answers every batch until the input ends.
+
+    Raises:
+        WireError: The input does not follow the format.
+        ValueError: No gateway can work with the settings of a new instance.
+    """
+    decoder = BatchDecoder()
+    host = InstanceHost()
+    while head := source.read(LENGTH.size):
+        if len(head) < LENGTH.size:
+            raise WireError(f"length: input ends after {len(head)} of {LENGTH.size} bytes")
+        (length,) = LENGTH.unpack(head)
+        batch = decoder.decode(_read_frame(source, length))
+        sink.write(encode_reply(batch.number, host.handle(batch)))
         sink.flush()
 
 
 def main() -> int:
+    """Runs the adapter; returns the process's exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
@@ -51,5 +72,12 @@
     return 0
 
 
+def _read_frame(source: BinaryIO, length: int) -> bytes:
+    frame = source.read(length)
+    if len(frame) < length:
+        raise WireError(f"frame: input ends after {len(frame)} of {length} bytes")
+    return frame
+
+
 if __name__ == "__main__":
     sys.exit(main())
--- a/tests/test_wire.py
+++ b/tests/test_simulator_wire.py
@@ -39,13 +39,9 @@
     TimerFired,
 )
 from quota_ingress.settings_codec import settings_from_json
-from quota_ingress.simulator.wire import (
-    Created,
-    Decoder,
-    Stopped,
-    WireError,
-    encode_reply,
-)
+from quota_ingress.simulator.decoder import BatchDecoder, InstanceCreated, InstanceStopped
+from quota_ingress.simulator.encoder import encode_reply
+from quota_ingress.simulator.wire import WireError
 
 ROOT = Path(__file__).parent.parent
 CONFIG = {
@@ -90,7 +86,7 @@
 
 
 def one(*records: bytes, tail: bytes = b"") -> object:
-    ((instance, message),) = Decoder().decode(batch(*records, tail=tail)).messages
+    ((instance, message),) = BatchDecoder().decode(batch(*records, tail=tail)).messages
     assert instance == 5
     return message
 
@@ -103,14 +99,14 @@
     assert one(CONTEXT, record(6, "Q", 2**63)) == TimerFired(2**63)
     assert one(CONTEXT, record(1, "QHfI", 9, 200, 2.5, 80)) == CounterAnswered(9, Outcome.OK, 2.5, 80)
     assert one(CONTEXT, record(12, "I", 4)) == ClientDisconnected(4)
-    assert one(CONTEXT, record(3)) == Stopped()
+    assert one(CONTEXT, record(3)) == InstanceStopped()
     assert one(CONTEXT, record(9, "IH6sI", 4, 1, BACKEND, 60)) == StreamStarted(4, 1, BACKEND_ID, 60)
     pong = record(10, "6sHIB4f", BACKEND, 521, 60, 1, 3.0, 0, 0, 0)
     assert one(CONTEXT, pong) == ProbeAnswered(BACKEND_ID, Outcome.CONNECT_FAILED, 60, (3.0,))
     assert one(CONTEXT, record(2, "HII", 1, 2, 3), tail=b"..abc") == PeerMessage(1, b"abc")
     text = json.dumps(CONFIG).encode()
     made = one(CONTEXT, record(4, "QII", 2**64 - 1, 0, len(text)), tail=text)
-    assert made == Created(settings_from_json(text), 2**64 - 1)
+    assert made == InstanceCreated(settings_from_json(text), 2**64 - 1)
     listing = one(record(8, "BII", 3, 0, 1), CONTEXT, record(13, "BQB", 4, 17, 3), tail=ENTRY)
     entry = ListedEndpoint(BACKEND_ID, EndpointState.READY, 1, 4, 6, 1.5, 77)
     assert listing == EndpointsListed(ListKind.CACHED, 17, (entry,))
@@ -120,7 +116,7 @@
     other = ENTRY[:16] + b"\x01\x02\x03\x04\x05\x06" + ENTRY[22:]
     page = [record(8, "BII", 0, at, 1) for at in (0, 24)]
     use = record(13, "BQB", 3, 1, 0)
-    decoder = Decoder()
+    decoder = BatchDecoder()
     found = decoder.decode(batch(page[0], CONTEXT, use, page[1], use, tail=ENTRY + other)).messages
     ids = [m.endpoints[0].id for _, m in found if isinstance(m, EndpointsListed)]
     assert ids == [BACKEND_ID, int.from_bytes(b"\x01\x02\x03\x04\x05\x06", "little")]
@@ -146,7 +142,7 @@
 )
 def test_malformed_frames_are_named(body: bytes, words: str) -> None:
     with pytest.raises(WireError, match=words):
-        Decoder().decode(body)
+        BatchDecoder().decode(body)
 
 
 def test_every_action_record() -> None:
