--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,13 +9,15 @@
 
 import pytest
 
-from quota_ingress import __main__ as main_module
+from quota_ingress.config import load_config
 from quota_ingress.net.discovery import watch as discovery_module
 from quota_ingress.net.discovery import watch_connection, watch_retry
 from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.watch import DiscoveryWatch
 from quota_ingress.net.discovery.watch_connection import WatchConnection
+from quota_ingress.net.lifecycle import ingress as ingress_module
+from quota_ingress.net.lifecycle.ingress import Ingress
 from quota_ingress.policy.endpoint_list import EndpointState
 from tests.net_helpers import HOST, Peer, PeerServer
 from tests.process_helpers import config
@@ -133,17 +135,17 @@
 # The start.
 
 
-def made_ingress(tmp_path: Path, agent: PeerServer) -> main_module.Ingress:
+def made_ingress(tmp_path: Path, agent: PeerServer) -> Ingress:
     known = list_document(41, True, leaving="up", staying="up")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(known=known, discovery=f"{HOST}:{agent.port}")))
-    return main_module.Ingress(main_module.read_config(str(path), {}))
+    return Ingress(load_config(str(path), {}))
 
 
 async def test_a_start_takes_no_client_before_it_knows_what_the_agent_has(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(main_module, "AGENT_WAIT", 10.0)
+    monkeypatch.setattr(ingress_module, "LIST_WAIT_SECONDS", 10.0)
     agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False, leaving="draining"))))
     await agent.start()
     ingress = made_ingress(tmp_path, agent)
@@ -152,7 +154,7 @@
 
     async def listened(host: str, port: int, inherited: int | None = None) -> int:
         before.append(
-            {name: STATUS_BY_STATE[entry.state] for name, entry in ingress.maintenance.entries.items()}
+            {name: STATUS_BY_STATE[entry.state] for name, entry in ingress.overrides.entries.items()}
         )
         return await listen(host, port, inherited)
 
@@ -164,12 +166,12 @@
 
 
 async def test_a_silent_agent_stops_no_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(main_module, "AGENT_WAIT", 0.01)
+    monkeypatch.setattr(ingress_module, "LIST_WAIT_SECONDS", 0.01)
     agent = DiscoveryAgent()
     await agent.start()
     ingress = made_ingress(tmp_path, agent)
     await ingress.start()
-    assert ingress.ready() and ingress.maintenance.entries["leaving"].state is EndpointState.READY
+    assert ingress.ready() and ingress.overrides.entries["leaving"].state is EndpointState.READY
     await stopped(ingress)
     agent.stop()
 
@@ -194,8 +196,7 @@
     await new.start()
     ingress = made_ingress(tmp_path, old)
     await ingress.start()
-    assert ingress.sources
-    done, listed = asyncio.Event(), ingress.maintenance.apply_list
+    done, listed = asyncio.Event(), ingress.overrides.apply_list
 
     def listed_then_read(listing: EndpointList, kind: Any = None) -> None:
         listed(listing, kind)
@@ -203,23 +204,22 @@
             done.set()
             watches[0].data_received(chunk(list_line(list_document(43, False, leaving="up"))))
 
-    monkeypatch.setattr(ingress.maintenance, "apply_list", listed_then_read)
+    monkeypatch.setattr(ingress.overrides, "apply_list", listed_then_read)
     path = tmp_path / "other.json"
     path.write_text(json.dumps(config(discovery=f"{HOST}:{new.port}")))
-    ingress.sources.reload(str(path))
+    ingress.reload(str(path))
     async with asyncio.timeout(10):
         await done.wait()
-    assert list(ingress.maintenance.entries) == ["staying"] and ingress.maintenance.index == 7
+    assert list(ingress.overrides.entries) == ["staying"] and ingress.overrides.list_version == 7
     await stopped(ingress)
     old.stop()
     new.stop()
 
 
-async def stopped(ingress: main_module.Ingress) -> None:
-    assert ingress.sources
-    ingress.sources.stop()
+async def stopped(ingress: Ingress) -> None:
+    ingress.control_plane.stop()
     ingress.listener.stop()
-    ingress.backends.stop()
+    ingress.upstream.stop()
     ingress.admin.stop()
 
 
