--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,6 +41,7 @@
     Plan("capped", rate=0.0, burst=0.0, max_in_flight=2),
     Plan("ceiling", rate=2.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=8.0),
 )
+UNLIMITED_PLANS = (Plan("free", rate=0.0, burst=0.0),)
 
 
 def settings(**changes: Any) -> Settings:
@@ -99,6 +100,24 @@
     return len(sent)
 
 
+def sent_to(gateway: Gateway, now: int, requests: range, **changes: Any) -> list[int]:
+    """Returns the endpoints that these requests are sent to, all at one moment."""
+    attempts = [
+        sent for n in requests for sent in of(gateway.handle(now, arrival(n, **changes)), SendAttempt)
+    ]
+    return [sent.endpoint for sent in attempts]
+
+
+def endpoints_used(gateway: Gateway, now: int, first_request: int) -> set[int]:
+    """Returns the endpoints that 200 requests, one after another, go to."""
+    used = set()
+    for number in range(first_request, first_request + 200):
+        for sent in of(gateway.handle(now, arrival(number)), SendAttempt):
+            used.add(sent.endpoint)
+            gateway.handle(now, AttemptEnded(number, 0, sent.endpoint, Outcome.OK, 50_000, True))
+    return used
+
+
 def of(actions: list[Action], kind: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
--- /dev/null
+++ b/tests/support/fleet_simulation.py
@@ -0,0 +1,207 @@
+"""A whole fleet in simulated time: real gateways, endpoints with queues, uneven traffic with bursts."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import math
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
+from typing import NamedTuple
+
+from quota_ingress.policy.actions import SendAttempt, SetTimer
+from quota_ingress.policy.endpoint_list import ListKind
+from quota_ingress.policy.events import AttemptEnded, Event, Outcome, TimerFired
+from quota_ingress.policy.gateway import Gateway
+from quota_ingress.policy.settings import Safety
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, backend, listed, settings
+
+CORES = 3  # of an endpoint
+MAX_REQUESTS = 63  # at an endpoint, those in its queue included
+WARMING_START = 8 * SECOND  # us; when the warming endpoints start
+FIRST_WARMING_ID = 100
+MIN_LATENCY = 1000  # us
+SAFETY = Safety(
+    8000,
+    500_000,
+    initial_capacity_fraction=0.15,
+    warmup_time=12 * SECOND,
+    overload_multiple=2.0,
+    overload_window=SECOND,
+)
+
+
+class ReceivedWork(NamedTuple):
+    """A request that came to an endpoint."""
+
+    at: int  # us from WARMING_START
+    requests: float  # its work in mean requests
+
+
+def promised_capacity(age: int) -> float:
+    """The fraction of its capacity that the settings promise of an endpoint `age` us after its start."""
+    initial = SAFETY.initial_capacity_fraction
+    return min(1.0, initial + (1 - initial) * age / SAFETY.warmup_time)
+
+
+@dataclass
+class SimulatedEndpoint:
+    """First come, first served; the cores of a warming one are slower."""
+
+    started_at: int = 0  # us; 0: long ago
+    cores_free_at: list[int] = field(default_factory=lambda: [0] * CORES)
+    ends: list[int] = field(default_factory=list)  # of the requests that are here
+    received: list[ReceivedWork] = field(default_factory=list)
+
+    def serve(self, now: int, work: float) -> int:
+        """Returns the us until `work` (us of a warm core) is done, or -1 where the queue is full."""
+        while self.ends and self.ends[0] <= now:
+            heapq.heappop(self.ends)
+        if len(self.ends) >= MAX_REQUESTS:
+            return -1
+        speed = promised_capacity(now - self.started_at) if self.started_at else 1.0
+        end = max(now, heapq.heappop(self.cores_free_at)) + int(work / speed)
+        heapq.heappush(self.cores_free_at, end)
+        heapq.heappush(self.ends, end)
+        return end - now
+
+
+@dataclass
+class FleetSimulation:
+    """Plays a fleet until the end of the warm-up."""
+
+    gateway_count: int
+    seed: int = 0
+    load: float = 0.6  # of the capacity of the warm endpoints
+    burst: float = 1.5  # times the load, in `burst_span`
+    burst_span: tuple[int, int] = (0, 6 * SECOND)  # us from WARMING_START
+    warm_count: int = 8
+    warming_count: int = 4
+    traffic_skew: float = 0.8  # standard deviation of the logarithm of the gateways' traffic
+    max_list_delay: int = SECOND  # us until the last gateway has the list
+    mean_work: int = 160_000  # us of a core
+    equal_work: bool = False  # of all requests; otherwise it is drawn
+    restart_after: int = (
+        -1
+    )  # us from WARMING_START until a third of the gateways restarts; below 0: none does
+
+    def __post_init__(self) -> None:
+        self.rng = random.Random(self.seed)
+        self.sequence = itertools.count()
+        self.schedule: list[tuple[int, int, Callable[[int], None]]] = []
+        self.works: list[float] = []  # us of a core, by request
+        self.last_attempts: dict[tuple[int, int], int] = {}  # by gateway and request
+        self.capacity = CORES * SECOND / self.mean_work  # requests a second of a warm endpoint
+        self.served = 0.0  # fraction of the requests
+
+    def play(self) -> FleetSimulation:
+        warming = [backend(FIRST_WARMING_ID + n, started_at=WARMING_START) for n in range(self.warming_count)]
+        warm = [backend(n) for n in range(self.warm_count)]
+        self.endpoints = {entry.id: SimulatedEndpoint(entry.started_at) for entry in [*warm, *warming]}
+        self.gateways: list[Gateway] = []
+        for index in range(self.gateway_count):
+            self.gateways.append(self._make_gateway(index))
+            self._handle(index, 0, listed(*warm))
+            change = partial(self._handle, index, event=listed(*warming, kind=ListKind.DELTA))
+            self._at(WARMING_START + self.rng.randrange(1, self.max_list_delay), change)
+        weights = [math.exp(self.rng.gauss(0, self.traffic_skew)) for _ in self.gateways]
+
+        def restart(now: int) -> None:
+            for index in range(0, self.gateway_count, 3):
+                self.gateways[index] = self._make_gateway(index)
+                self._handle(index, now, listed(*warm, *warming))
+
+        self._at(1, partial(self._arrive, weights))
+        if self.restart_after >= 0:
+            self._at(WARMING_START + self.restart_after, restart)
+        while self.schedule[0][0] < WARMING_START + SAFETY.warmup_time:
+            now, _, callback = heapq.heappop(self.schedule)
+            callback(now)
+        self.served /= len(self.works)
+        return self
+
+    def _at(self, when: int, callback: Callable[[int], None]) -> None:
+        heapq.heappush(self.schedule, (when, next(self.sequence), callback))
+
+    def _make_gateway(self, index: int) -> Gateway:
+        seed = self.rng.getrandbits(30)
+        made = settings(
+            gateway_index=index, fleet_size=self.gateway_count, plans=UNLIMITED_PLANS, safety=SAFETY
+        )
+        return Gateway(made, seed)
+
+    def _arrive(self, weights: list[float], now: int) -> None:
+        work = self.mean_work if self.equal_work else self.rng.expovariate(1 / self.mean_work)
+        self.works.append(work)
+        (gateway,) = self.rng.choices(range(self.gateway_count), weights)
+        self._handle(gateway, now, arrival(len(self.works) - 1))
+        begin, end = self.burst_span
+        factor = self.burst if begin <= now - WARMING_START < end else 1.0
+        rate = self.load * factor * self.warm_count * self.capacity / SECOND
+        self._at(now + 1 + int(self.rng.expovariate(rate)), partial(self._arrive, weights))
+
+    def _handle(self, index: int, now: int, event: Event) -> None:
+        gateway = self.gateways[index]
+        for action in gateway.handle(now, event):
+            if isinstance(action, SetTimer):
+                fired = partial(self._handle, index, event=TimerFired(action.token))
+                self._at(max(now + 1, action.at), fired)
+            elif isinstance(action, SendAttempt):
+                self._send(index, gateway, now, action)
+
+    def _send(self, index: int, gateway: Gateway, now: int, sent: SendAttempt) -> None:
+        number = self.last_attempts.get((index, sent.request), -1) + 1
+        self.last_attempts[index, sent.request] = number
+        endpoint = self.endpoints[sent.endpoint]
+        work = self.works[sent.request]
+        endpoint.received.append(ReceivedWork(now - WARMING_START, work / self.mean_work))
+        latency = endpoint.serve(now, work)
+        outcome = Outcome.OK if latency <= sent.timeout else Outcome.TIMEOUT
+        outcome = Outcome.REJECTED if latency < 0 else outcome
+        latency = min(max(latency, MIN_LATENCY), sent.timeout)
+        is_ok = outcome is Outcome.OK
+        ended = AttemptEnded(sent.request, number, sent.endpoint, outcome, latency, is_ok)
+
+        def end(now: int) -> None:
+            self.served += is_ok
+            if self.gateways[index] is gateway:  # has not been restarted
+                self._handle(index, now, ended)
+
+        self._at(now + latency, end)
+
+    def overloads(self) -> list[float]:
+        """By warming endpoint: the most mean requests beyond N + 2 root N + 2 in an overload window."""
+        return [
+            max(map(self._overload, windows(self.endpoints[FIRST_WARMING_ID + n].received)), default=0.0)
+            for n in range(self.warming_count)
+        ]
+
+    def _overload(self, window: ReceivedWork) -> float:
+        promised = SAFETY.overload_multiple * promised_capacity(window.at)
+        budget = promised * self.capacity * SAFETY.overload_window / SECOND  # N
+        return window.requests - budget - 2 * math.sqrt(budget) - 2
+
+    def warming_share(self, begin: int, end: int) -> float:
+        """What a warming endpoint got of what a warm one did, between two times from WARMING_START."""
+        received = [
+            sum(work.requests for work in endpoint.received if begin <= work.at < end)
+            for endpoint in self.endpoints.values()
+        ]
+        warming = sum(received[self.warm_count :]) / self.warming_count
+        return warming / (sum(received[: self.warm_count]) / self.warm_count)
+
+
+def windows(received: list[ReceivedWork]) -> list[ReceivedWork]:
+    """The end of each overload window that ends with a request, and all the work that came in it."""
+    found: list[ReceivedWork] = []
+    total = 0.0
+    first = 0
+    for work in received:
+        total += work.requests
+        while received[first].at <= work.at - SAFETY.overload_window:
+            total -= received[first].requests
+            first += 1
+        found.append(ReceivedWork(work.at, total))
+    return found
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,17 +1,19 @@
-"""Deterministic subsetting: the parts, what the module keeps of a long list, what a change of it costs."""
+"""Deterministic subsetting: the parts, what a gateway keeps of a long list, what a change of it costs."""
 
 from __future__ import annotations
 
 import time
+from typing import NamedTuple
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as examples
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from quota_ingress.policy import subsetting
 from quota_ingress.policy.actions import SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
+from quota_ingress.policy.endpoint_set import EndpointSet
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.subsetting import (
     MIN_CANDIDATES,
@@ -20,136 +22,186 @@
     RESIZE_HYSTERESIS,
     assign_subset,
 )
-from tests.helpers import DRAINING, GONE, READY, SECOND, arrival, backend, listed, of, settings
-from tests.test_scale import FREE, used_by
+from tests.helpers import (
+    DRAINING,
+    GONE,
+    READY,
+    SECOND,
+    UNLIMITED_PLANS,
+    arrival,
+    backend,
+    endpoints_used,
+    listed,
+    of,
+    settings,
+)
 
-SIZE, MANY = 7100, 90_000  # gateways, backends: what is to come
-STATES = st.sampled_from([READY, DRAINING, GONE])
+FLEET_SIZE = 7100
+ENDPOINT_COUNT = 90_000
+GATEWAY_INDEX = 5
 
 
-@pytest.mark.parametrize(("size", "ready"), [(SIZE, MANY), (300, 20_000), (40, 3000), (40, 60), (10, 5000)])
-def test_in_each_row_of_gateways_every_backend_falls_to_one_and_is_held_by_as_many_as_any(
-    size: int, ready: int
+@pytest.mark.parametrize(
+    ("fleet_size", "ready"),
+    [(FLEET_SIZE, ENDPOINT_COUNT), (300, 20_000), (40, 3000), (40, 60), (10, 5000)],
+)
+def test_in_each_group_of_gateways_every_endpoint_is_preferred_once_and_candidate_equally_often(
+    fleet_size: int, ready: int
 ) -> None:
-    parts, held = assign_subset(0, size, ready).preferred_parts, assign_subset(0, size, ready).candidate_parts
-    assert 1 < parts <= size and parts % held == 0
-    for first in {0, (size // parts - 1) * parts}:
-        row = [assign_subset(me, size, ready) for me in range(first, first + parts)]
-        for hash_key in range(1, 20):
-            assert sum(s.is_preferred(hash_key) for s in row) == 1
-            assert sum(s.is_candidate(hash_key) for s in row) == parts // held
-            assert all(s.is_candidate(hash_key) for s in row if s.is_preferred(hash_key))
-
-
-@pytest.mark.parametrize("size", [1, 3, 7, 16, 200])
+    any_subset = assign_subset(0, fleet_size, ready)
+    parts, candidate_parts = any_subset.preferred_parts, any_subset.candidate_parts
+    assert 1 < parts <= fleet_size and parts % candidate_parts == 0
+    for first in {0, (fleet_size // parts - 1) * parts}:
+        group = [assign_subset(index, fleet_size, ready) for index in range(first, first + parts)]
+        for key in range(1, 20):
+            assert sum(subset.is_preferred(key) for subset in group) == 1
+            assert sum(subset.is_candidate(key) for subset in group) == parts // candidate_parts
+            assert all(subset.is_candidate(key) for subset in group if subset.is_preferred(key))
+
+
+@pytest.mark.parametrize("fleet_size", [1, 3, 7, 16, 200])
 @pytest.mark.parametrize("ready", [0, 1, 14, 60, 95, 96, 1023])
-def test_a_list_of_hundreds_is_held_whole_and_dealt_by_rows_of_eight(size: int, ready: int) -> None:
+def test_all_of_a_list_of_hundreds_are_candidates_and_groups_have_eight_gateways(
+    fleet_size: int, ready: int
+) -> None:
     parts = 1
-    while 2 * parts <= min(ready / MIN_PREFERRED, size, 8):
+    while 2 * parts <= min(ready / MIN_PREFERRED, fleet_size, 8):
         parts *= 2
-    subset = assign_subset(size - 1, size, ready)
-    assert (subset.preferred_parts, subset.candidate_parts, subset.subset_group) == (
-        parts,
-        1,
-        (size - 1) // 8,
-    )
-
-
-def test_a_part_of_a_long_list_is_dealt_anew_only_when_the_count_has_changed_for_good() -> None:
-    before, changes = assign_subset(5, SIZE, MANY), 0
-    at = before.preferred_parts * MIN_PREFERRED_WIDE  # the least for so many parts
-    for ready in [at + 1, at - 1] * 20 + [int(at * RESIZE_HYSTERESIS) + 1]:
-        after = assign_subset(5, SIZE, ready, before)
-        before, changes = after, changes + (after != before)
-    assert (
-        not changes and assign_subset(5, SIZE, at - 1).preferred_parts < before.preferred_parts
-    )  # whoever starts now deals by what it finds
-    assert (
-        assign_subset(5, SIZE, int(at * RESIZE_HYSTERESIS) - 1, before).preferred_parts
-        == before.preferred_parts // 2
-    )
-
-
-def told(count: int, size: int = SIZE, me: int = 5, **more: object) -> Gateway:
-    g = Gateway(settings(fleet_size=size, gateway_index=me, plans=FREE, **more), seed=1)
-    g.handle(0, listed(*(backend(n) for n in range(1, count + 1))))
-    return g
-
-
-def test_of_a_long_list_one_of_thousands_of_gateways_holds_hundreds_and_keeps_to_some_dozens() -> None:
-    g = told(MANY)
-    own, held = {b.entry.id for b in g.endpoints.preferred.members}, set(g.endpoints.candidates)
-    assert (
-        MIN_PREFERRED_WIDE / 2 < len(own) < 3 * MIN_PREFERRED_WIDE
-        and MIN_CANDIDATES / 2 < len(held) < 3 * MIN_CANDIDATES
-        and own < held
-    )
-    assert used_by(g, 0, 0) <= own
-    drained = [backend(n, DRAINING) for n in own]
-    g.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
-    assert used_by(g, SECOND, 1000) <= held - own  # no room there: others are used
-
-
-def change_cost(count: int) -> float:
-    """s for one change of a backend that is held, the least of some."""
-    g, costs = told(count), []
-    held = next(iter(g.endpoints.candidates))
+    subset = assign_subset(fleet_size - 1, fleet_size, ready)
+    assert subset.preferred_parts == parts
+    assert subset.candidate_parts == 1
+    assert subset.subset_group == (fleet_size - 1) // 8
+
+
+def test_a_subset_of_a_long_list_is_resized_only_when_the_count_has_changed_for_good() -> None:
+    subset = assign_subset(GATEWAY_INDEX, FLEET_SIZE, ENDPOINT_COUNT)
+    threshold = subset.preferred_parts * MIN_PREFERRED_WIDE  # the least endpoints for so many parts
+    changes = 0
+    for ready in [threshold + 1, threshold - 1] * 20 + [int(threshold * RESIZE_HYSTERESIS) + 1]:
+        resized = assign_subset(GATEWAY_INDEX, FLEET_SIZE, ready, subset)
+        changes += resized != subset
+        subset = resized
+    assert not changes
+    restarted = assign_subset(GATEWAY_INDEX, FLEET_SIZE, threshold - 1)
+    assert restarted.preferred_parts < subset.preferred_parts  # it goes by the count that it finds
+    halved = assign_subset(GATEWAY_INDEX, FLEET_SIZE, int(threshold * RESIZE_HYSTERESIS) - 1, subset)
+    assert halved.preferred_parts == subset.preferred_parts // 2
+
+
+def gateway_of_fleet(fleet_size: int, seed: int = 1) -> Gateway:
+    made = settings(fleet_size=fleet_size, gateway_index=GATEWAY_INDEX, plans=UNLIMITED_PLANS)
+    return Gateway(made, seed)
+
+
+def gateway_with_list(endpoint_count: int, fleet_size: int = FLEET_SIZE) -> Gateway:
+    gateway = gateway_of_fleet(fleet_size)
+    gateway.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    return gateway
+
+
+def test_one_of_thousands_of_gateways_has_hundreds_of_candidates_and_prefers_some_dozens() -> None:
+    gateway = gateway_with_list(ENDPOINT_COUNT)
+    preferred = {endpoint.entry.id for endpoint in gateway.endpoints.preferred.members}
+    candidates = set(gateway.endpoints.candidates)
+    assert MIN_PREFERRED_WIDE / 2 < len(preferred) < 3 * MIN_PREFERRED_WIDE
+    assert MIN_CANDIDATES / 2 < len(candidates) < 3 * MIN_CANDIDATES
+    assert preferred < candidates
+    assert endpoints_used(gateway, 0, 0) <= preferred
+    drained = [backend(n, DRAINING) for n in preferred]
+    gateway.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
+    assert endpoints_used(gateway, SECOND, 1000) <= candidates - preferred
+
+
+def change_cost(endpoint_count: int) -> float:
+    """The least seconds of CPU for one change of a candidate."""
+    gateway = gateway_with_list(endpoint_count)
+    candidate = next(iter(gateway.endpoints.candidates))
+    costs = []
     for n in range(40):
-        event = listed(backend(held, started_at=n), kind=ListKind.DELTA)
-        begun = time.process_time()
-        g.handle(n, event)
-        costs.append(time.process_time() - begun)
+        event = listed(backend(candidate, started_at=n), kind=ListKind.DELTA)
+        began = time.process_time()
+        gateway.handle(n, event)
+        costs.append(time.process_time() - began)
     return min(costs)
 
 
 def test_a_change_costs_no_more_in_a_list_of_thirty_times_the_length() -> None:
-    """One backend's change was a pass over all: 282 ms at 90,000."""
+    """One endpoint's change was a pass over all: 282 ms at 90,000."""
     assert change_cost(30_000) < 5 * change_cost(1000)
 
 
-def test_what_may_be_out_goes_by_all_backends_and_not_by_those_held() -> None:
-    whole, part = told(9000, 700), Gateway(settings(fleet_size=700, gateway_index=5, plans=FREE), seed=1)
-    held = [backend(n) for n in whole.endpoints.candidates]
-    part.handle(0, EndpointsListed(ListKind.FULL, 1, tuple(held), ready_total=9000))
-    assert len(held) < 3000 and part.endpoints.candidates.keys() == whole.endpoints.candidates.keys()
-    for g in (whole, part):
-        sent = [n for n in range(1000) if of(g.handle(1, arrival(n)), SendAttempt)]
-        assert len(sent) > 90  # half of 16 / 700 of 9,000; of those held it would be a few
-    assert part.endpoints.preferred.positions.keys() == whole.endpoints.preferred.positions.keys()
+def test_the_pooled_limit_goes_by_all_endpoints_and_not_by_the_candidates() -> None:
+    told_all = gateway_with_list(9000, 700)
+    told_part = gateway_of_fleet(700)
+    candidates = tuple(backend(n) for n in told_all.endpoints.candidates)
+    told_part.handle(0, EndpointsListed(ListKind.FULL, 1, candidates, ready_total=9000))
+    assert len(candidates) < 3000
+    assert told_part.endpoints.candidates.keys() == told_all.endpoints.candidates.keys()
+    for gateway in (told_all, told_part):
+        sent = [n for n in range(1000) if of(gateway.handle(1, arrival(n)), SendAttempt)]
+        assert len(sent) > 90  # half of 16 / 700 of 9,000; of the candidates it would be a few
+    part_preferred, all_preferred = told_part.endpoints.preferred, told_all.endpoints.preferred
+    assert part_preferred.positions.keys() == all_preferred.positions.keys()
 
 
-CHANGE = st.lists(st.tuples(st.integers(1, 60), STATES, st.integers(0, 2)), max_size=60)
+class EntryChange(NamedTuple):
+    """An entry of a list or a change."""
 
+    id: int
+    state: EndpointState
+    started_at: int
 
-@examples(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(st.booleans(), CHANGE), min_size=1, max_size=12))
-def test_any_order_of_whole_lists_changes_and_removals_leaves_what_the_last_list_told_anew_would(
-    events: list[tuple[bool, list[tuple[int, EndpointState, int]]]],
+
+class ListEvent(NamedTuple):
+    """A whole list or a change of it."""
+
+    is_whole: bool
+    entries: list[EntryChange]
+
+
+ENTRY_CHANGES = st.builds(
+    EntryChange, st.integers(1, 60), st.sampled_from([READY, DRAINING, GONE]), st.integers(0, 2)
+)
+LIST_EVENTS = st.builds(ListEvent, st.booleans(), st.lists(ENTRY_CHANGES, max_size=60))
+SMALL_SUBSETS = {
+    "SUBSET_GROUP_SIZE": 2,
+    "MIN_PREFERRED": 2,
+    "MIN_PREFERRED_WIDE": 3,
+    "MIN_CANDIDATES": 6,
+    "RESIZE_HYSTERESIS": 1.0,
+}  # so that a list of some dozens is split like a long one
+
+
+def assert_consistent(endpoints: EndpointSet) -> None:
+    """Both candidate sets know the positions of their members."""
+    for members in (endpoints.ready, endpoints.preferred):
+        assert len(members) == len(members.positions)
+        for number, position in members.positions.items():
+            assert members.members[position] is endpoints.candidates[number]
+
+
+@hypothesis_settings(max_examples=60, deadline=None)
+@given(st.lists(LIST_EVENTS, min_size=1, max_size=12))
+def test_any_order_of_lists_and_changes_leaves_what_the_last_list_told_anew_would(
+    events: list[ListEvent],
 ) -> None:
-    with pytest.MonkeyPatch.context() as few:  # so that a list of some dozens is dealt like a long one
-        for name, value in {
-            "SUBSET_GROUP_SIZE": 2,
-            "MIN_PREFERRED": 2,
-            "MIN_PREFERRED_WIDE": 3,
-            "MIN_CANDIDATES": 6,
-            "RESIZE_HYSTERESIS": 1.0,
-        }.items():
-            few.setattr(subsetting, name, value)
-        g, fresh = (Gateway(settings(fleet_size=64, gateway_index=5, plans=FREE), seed=n) for n in range(2))
-        now: dict[int, ListedEndpoint] = {}
-        for whole, changes in events:
-            entries = [backend(n, state, started) for n, state, started in changes]
-            g.handle(0, listed(*entries, kind=ListKind.FULL if whole else ListKind.DELTA))
-            now = ({} if whole else now) | {e.id: e for e in entries}
-            now = {n: e for n, e in now.items() if e.state is not GONE}
-        fresh.handle(0, listed(*now.values()))
-    a, b = g.endpoints, fresh.endpoints
-    assert (
-        a.listed_endpoints == b.listed_endpoints == now
-        and a.ready_total == b.ready_total
-        and a.subset == b.subset
-    )
-    assert {n: x.entry for n, x in a.candidates.items()} == {n: x.entry for n, x in b.candidates.items()}
-    for mine, other in ((a.ready, b.ready), (a.preferred, b.preferred)):
-        assert mine.positions.keys() == other.positions.keys() and len(mine) == len(mine.positions)
-        assert all(mine.members[at] is a.candidates[n] for n, at in mine.positions.items())
+    with pytest.MonkeyPatch.context() as patch:
+        for name, value in SMALL_SUBSETS.items():
+            patch.setattr(subsetting, name, value)
+        changed, fresh = gateway_of_fleet(64, seed=0), gateway_of_fleet(64, seed=1)
+        expected: dict[int, ListedEndpoint] = {}
+        for event in events:
+            entries = [backend(entry.id, entry.state, entry.started_at) for entry in event.entries]
+            changed.handle(0, listed(*entries, kind=ListKind.FULL if event.is_whole else ListKind.DELTA))
+            expected = ({} if event.is_whole else expected) | {entry.id: entry for entry in entries}
+            expected = {n: entry for n, entry in expected.items() if entry.state is not GONE}
+        fresh.handle(0, listed(*expected.values()))
+    ours, theirs = changed.endpoints, fresh.endpoints
+    assert ours.listed_endpoints == theirs.listed_endpoints == expected
+    assert ours.ready_total == theirs.ready_total
+    assert ours.subset == theirs.subset
+    our_entries = {n: endpoint.entry for n, endpoint in ours.candidates.items()}
+    assert our_entries == {n: endpoint.entry for n, endpoint in theirs.candidates.items()}
+    assert ours.ready.positions.keys() == theirs.ready.positions.keys()
+    assert ours.preferred.positions.keys() == theirs.preferred.positions.keys()
+    assert_consistent(ours)
