--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,7 +21,7 @@
 )
 
 SECOND = 1_000_000
-READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
+READY, DRAINING, REMOVED = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
 
 CLASSES = (
     RequestClass("read", latency_objective=SECOND, deadline=4 * SECOND, idempotency=Idempotency.IDEMPOTENT),
@@ -69,7 +69,9 @@
     return replace(base, **changes)
 
 
-def backend(number: int, state: EndpointState = READY, started_at: int = 0, **more: Any) -> ListedEndpoint:
+def endpoint_entry(
+    number: int, state: EndpointState = READY, started_at: int = 0, **more: Any
+) -> ListedEndpoint:
     fields: dict[str, Any] = {"zone": 0, "cell": number % 2, "kind": 0, "weight": 1.0} | more
     return ListedEndpoint(id=number, state=state, started_at=started_at, **fields)
 
@@ -88,7 +90,7 @@
 def gateway_with_endpoints(endpoint_count: int = 4, **changes: Any) -> Gateway:
     """A gateway that knows of endpoints 1 to `endpoint_count`."""
     made = Gateway(settings(**changes), seed=1)
-    made.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    made.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return made
 
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -16,7 +16,7 @@
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, TimerFired
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import Safety
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, backend, listed, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, settings
 
 CORES = 3  # of an endpoint
 MAX_REQUESTS = 63  # at an endpoint, those in its queue included
@@ -97,8 +97,10 @@
         self.served = 0.0  # fraction of the requests
 
     def play(self) -> FleetSimulation:
-        warming = [backend(FIRST_WARMING_ID + n, started_at=WARMING_START) for n in range(self.warming_count)]
-        warm = [backend(n) for n in range(self.warm_count)]
+        warming = [
+            endpoint_entry(FIRST_WARMING_ID + n, started_at=WARMING_START) for n in range(self.warming_count)
+        ]
+        warm = [endpoint_entry(n) for n in range(self.warm_count)]
         self.endpoints = {entry.id: SimulatedEndpoint(entry.started_at) for entry in [*warm, *warming]}
         self.gateways: list[Gateway] = []
         for index in range(self.gateway_count):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
     SECOND,
     Counter,
     arrival,
-    backend,
+    endpoint_entry,
     gateway_with_endpoints,
     listed,
     of,
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize(("first", "count"), [(0, 0), (9999, 65535), (-5, -1), (0, 2**31)])
 def test_an_impossible_gateway_set_admits_no_more_than_a_burst(size: int, first: int, count: int) -> None:
     gateway, counter = Gateway(settings(fleet_size=size), 1), Counter()
-    gateway.handle(0, listed(backend(1), backend(2)))
+    gateway.handle(0, listed(endpoint_entry(1), endpoint_entry(2)))
     sent = 0
     for n in range(60):
         event = arrival(n, first_gateway=first, gateway_count=count)
--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -15,7 +15,7 @@
     SECOND,
     Counter,
     arrival,
-    backend,
+    endpoint_entry,
     gateway_with_endpoints,
     listed,
     of,
@@ -108,7 +108,7 @@
 ) -> None:
     plan = Plan("mid", 2.0, burst=8.0)
     gateway = Gateway(settings(fleet_size=200, plans=(plan,)), 1)
-    gateway.handle(0, listed(*(backend(n) for n in range(1, 25))))
+    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 25))))
     order = itertools.count()
     calls = 0
     events: list[tuple[int, int, Event]] = []
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 from quota_ingress.policy.endpoint_list import ListedEndpoint
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, backend, listed, of, sent_to, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, sent_to, settings
 
 
 def gateway(*entries: ListedEndpoint, **changes: object) -> Gateway:
@@ -16,16 +16,16 @@
 
 
 def test_attempts_in_flight_at_an_endpoint_are_limited_and_the_limit_falls_with_late_answers() -> None:
-    g = gateway(backend(1))
-    first = sent_to(g, 0, range(100))
-    assert 1 < len(first) <= 16
-    for n in range(len(first)):
+    g = gateway(endpoint_entry(1))
+    sent = sent_to(g, 0, range(100))
+    assert 1 < len(sent) <= 16
+    for n in range(len(sent)):
         g.handle(900_000, AttemptEnded(n, 0, 1, Outcome.OK, 900_000, True))
-    assert len(sent_to(g, 900_000, range(200, 300))) < len(first) / 2
+    assert len(sent_to(g, 900_000, range(200, 300))) < len(sent) / 2
 
 
 def test_prompt_answers_raise_the_limit() -> None:
-    g = gateway(backend(1))
+    g = gateway(endpoint_entry(1))
     before = len(sent_to(g, 0, range(100)))
     for n in range(before):
         g.handle(50_000, AttemptEnded(n, 0, 1, Outcome.OK, 50_000, True))
@@ -33,7 +33,7 @@
 
 
 def test_the_limit_of_a_warming_endpoint_grows_while_its_warm_fraction_is_used() -> None:
-    g = gateway(backend(1), backend(2, started_at=1))
+    g = gateway(endpoint_entry(1), endpoint_entry(2, started_at=1))
     warming = g.endpoints.candidates[2]
     before = warming.concurrency_limit
     g.load_balancer.on_attempt_ended(warming, SECOND, 0, Outcome.OK, 50_000)
@@ -45,7 +45,7 @@
 
 def test_the_limit_grows_on_answers_at_a_quarter_of_the_objective() -> None:
     """With short objectives an idle endpoint's own work took a fifth of them, and limits sank to one."""
-    g = gateway(backend(1))
+    g = gateway(endpoint_entry(1))
     (endpoint,) = g.endpoints.candidates.values()
     endpoint.concurrency_limit, endpoint.in_flight = 2.0, 2
     g.load_balancer.on_attempt_ended(endpoint, SECOND, 0, Outcome.OK, SECOND // 4)
@@ -53,7 +53,7 @@
 
 
 def test_many_gateways_together_do_not_jam_a_fleet_with_one_attempt_each() -> None:
-    g = gateway(*(backend(n) for n in range(1, 9)), fleet_size=16)
+    g = gateway(*(endpoint_entry(n) for n in range(1, 9)), fleet_size=16)
     for n in range(60):
         for sent in of(g.handle(n, arrival(n)), SendAttempt):
             g.handle(n, AttemptEnded(n, 0, sent.endpoint, Outcome.TIMEOUT, 900_000, True))
@@ -62,7 +62,7 @@
 
 def sent_after_failures(lost: int) -> int:
     """How many of 30 requests at once one of many gateways sends after `lost` of 20 answers were lost."""
-    g = gateway(*(backend(n) for n in range(1, 21)), fleet_size=50, limits={"max_attempts": 1})
+    g = gateway(*(endpoint_entry(n) for n in range(1, 21)), fleet_size=50, limits={"max_attempts": 1})
     for n in range(300):
         for sent in of(g.handle(n * 200_000, arrival(n)), SendAttempt):
             is_lost = n % 20 < lost
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -7,11 +7,11 @@
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
 from tests.helpers import (
-    GONE,
+    REMOVED,
     SECOND,
     UNLIMITED_PLANS,
     arrival,
-    backend,
+    endpoint_entry,
     endpoints_used,
     listed,
     of,
@@ -22,29 +22,29 @@
 
 def gateway(endpoint_count: int, **changes: object) -> Gateway:
     made = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    made.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    made.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return made
 
 
 def test_an_endpoint_that_a_full_list_lacks_is_removed_and_one_that_a_change_lacks_is_not() -> None:
     g = gateway(2)
-    g.handle(10, listed(backend(2), kind=ListKind.DELTA))
+    g.handle(10, listed(endpoint_entry(2), kind=ListKind.DELTA))
     assert set(sent_to(g, 10, range(8))) == {1, 2}
-    g.handle(20, listed(backend(2)))
+    g.handle(20, listed(endpoint_entry(2)))
     assert set(sent_to(g, 20, range(10, 14))) <= {2}
 
 
 def test_removed_endpoints_are_forgotten() -> None:
     g = gateway(1)
     for n in range(2, 50):
-        g.handle(n, listed(backend(n), backend(n - 1, GONE), kind=ListKind.DELTA))
+        g.handle(n, listed(endpoint_entry(n), endpoint_entry(n - 1, REMOVED), kind=ListKind.DELTA))
     assert set(g.endpoints.candidates) == {49}
 
 
 def test_attempts_in_flight_at_an_endpoint_that_restarts_are_counted_down() -> None:
     g = gateway(1)
     (sent,) = of(g.handle(0, arrival(1)), SendAttempt)
-    g.handle(10, listed(backend(1, started_at=10), kind=ListKind.DELTA))
+    g.handle(10, listed(endpoint_entry(1, started_at=10), kind=ListKind.DELTA))
     g.handle(20, AttemptEnded(1, 0, sent.endpoint, Outcome.RESET, 20, True))
     assert g.endpoints.in_flight == 0 and g.endpoints.candidates[1].in_flight == 0
 
@@ -56,7 +56,7 @@
         for index in range(gateway_count)
     ]
     for g in fleet:
-        g.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+        g.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return [endpoints_used(g, 0, 0) for g in fleet]
 
 
@@ -74,7 +74,7 @@
 def test_a_subset_stays_and_is_refilled_as_endpoints_are_lost() -> None:
     g = gateway(60, fleet_size=40)
     before = endpoints_used(g, 0, 0)
-    g.handle(SECOND, listed(*(backend(n) for n in range(1, 41))))  # a zone is gone
+    g.handle(SECOND, listed(*(endpoint_entry(n) for n in range(1, 41))))  # a zone is gone
     after = endpoints_used(g, SECOND, 1000)
     assert after >= {n for n in before if n <= 40} and len(after) > 10
 
@@ -82,7 +82,7 @@
 def test_other_endpoints_are_used_where_the_preferred_subset_has_no_capacity() -> None:
     g = gateway(60, fleet_size=40)
     preferred = endpoints_used(g, 0, 0)
-    drained = [backend(n, EndpointState.DRAINING) for n in preferred]
+    drained = [endpoint_entry(n, EndpointState.DRAINING) for n in preferred]
     g.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
     others = endpoints_used(g, SECOND, 1000)
     assert others and not others & preferred
@@ -92,6 +92,6 @@
     """A real ingress numbers endpoints for itself."""
     first = Gateway(settings(fleet_size=40, plans=UNLIMITED_PLANS), 3)
     second = Gateway(settings(fleet_size=40, plans=UNLIMITED_PLANS), 3)
-    first.handle(0, listed(*(backend(n, hash_key=1000 + n) for n in range(1, 61))))
-    second.handle(0, listed(*(backend(100 - n, hash_key=1000 + n) for n in range(1, 61))))
+    first.handle(0, listed(*(endpoint_entry(n, hash_key=1000 + n) for n in range(1, 61))))
+    second.handle(0, listed(*(endpoint_entry(100 - n, hash_key=1000 + n) for n in range(1, 61))))
     assert endpoints_used(first, 0, 0) == {100 - n for n in endpoints_used(second, 0, 0)}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -38,13 +38,13 @@
 from tests.helpers import (
     CLASSES,
     DRAINING,
-    GONE,
     PLANS,
     READY,
+    REMOVED,
     SECOND,
     UNLIMITED_PLANS,
     arrival,
-    backend,
+    endpoint_entry,
     gateway_with_endpoints,
     listed,
     of,
@@ -100,7 +100,7 @@
         self.requests: dict[int, ObservedRequest] = {}
         self.calls: list[PendingCall] = []
         self.timers: list[SetTimer] = []
-        self.play(listed(*(backend(n) for n in self.cells)))
+        self.play(listed(*(endpoint_entry(n) for n in self.cells)))
 
     def play(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -152,8 +152,8 @@
             self.end_some_attempt()
         elif choice == 6:
             number = self.rng.choice(list(self.states))
-            self.states[number] = self.rng.choice([READY, READY, DRAINING, GONE])
-            self.play(listed(backend(number, self.states[number]), kind=ListKind.DELTA))
+            self.states[number] = self.rng.choice([READY, READY, DRAINING, REMOVED])
+            self.play(listed(endpoint_entry(number, self.states[number]), kind=ListKind.DELTA))
         elif choice == 7 and self.calls:
             self.answer_call(self.rng.choice([Outcome.OK, Outcome.OK, Outcome.REJECTED]))
         else:
@@ -292,13 +292,13 @@
 
 def test_subscribes_to_the_endpoint_list_where_it_must() -> None:
     gateway = Gateway(settings(must_subscribe=True), 1)
-    assert of(gateway.handle(0, listed(backend(1), kind=ListKind.CACHED)), SubscribeToEndpoints)
+    assert of(gateway.handle(0, listed(endpoint_entry(1), kind=ListKind.CACHED)), SubscribeToEndpoints)
     assert of(gateway.handle(9, EndpointsListed(ListKind.FAILED, 0, ())), SubscribeToEndpoints)
 
 
 def test_customers_seen_once_are_forgotten_when_their_bucket_must_be_full() -> None:
     gateway = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
-    gateway.handle(0, listed(backend(1)))
+    gateway.handle(0, listed(endpoint_entry(1)))
     for n in range(40):  # a window is two seconds
         gateway.handle(n * SECOND, arrival(n, customer=n))
         gateway.handle(n * SECOND, ClientDisconnected(n))
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -10,11 +10,11 @@
 from quota_ingress.policy.gateway import Gateway
 from tests.helpers import (
     DRAINING,
-    GONE,
+    REMOVED,
     SECOND,
     UNLIMITED_PLANS,
     arrival,
-    backend,
+    endpoint_entry,
     listed,
     of,
     sent_to,
@@ -28,10 +28,10 @@
     return made
 
 
-@pytest.mark.parametrize("state", [DRAINING, GONE])
+@pytest.mark.parametrize("state", [DRAINING, REMOVED])
 def test_nothing_new_is_sent_to_a_draining_or_removed_endpoint(state: EndpointState) -> None:
-    g = gateway(backend(1), backend(2))
-    g.handle(10, listed(backend(1, state), kind=ListKind.DELTA))
+    g = gateway(endpoint_entry(1), endpoint_entry(2))
+    g.handle(10, listed(endpoint_entry(1, state), kind=ListKind.DELTA))
     assert set(sent_to(g, 10, range(8))) == {2}
 
 
@@ -41,7 +41,7 @@
 
 
 def test_an_unreachable_endpoint_is_avoided_and_tried_again_later() -> None:
-    g = gateway(backend(1), backend(2))
+    g = gateway(endpoint_entry(1), endpoint_entry(2))
     for n in range(30):
         for sent in of(g.handle(0, arrival(n)), SendAttempt):
             is_up = sent.endpoint == 2
@@ -56,7 +56,7 @@
 
 def fraction_sent_to_first(load: float, report_age: int) -> float:
     """The fraction of requests sent to the first of two endpoints after it reported `load`, the other 1."""
-    g = gateway(backend(1), backend(2), load_fields=("queue",))
+    g = gateway(endpoint_entry(1), endpoint_entry(2), load_fields=("queue",))
     attempts = [sent for n in range(8) for sent in of(g.handle(0, arrival(n)), SendAttempt)]
     assert {sent.endpoint for sent in attempts} == {1, 2}
     for sent in attempts:
@@ -80,7 +80,7 @@
     chosen = []
     for index in range(8):  # between them, each endpoint once or twice
         g = Gateway(settings(fleet_size=300, gateway_index=index, plans=UNLIMITED_PLANS), 3)
-        g.handle(0, listed(*(backend(n, weight=2.0 + n % 2) for n in range(1, 61))))
+        g.handle(0, listed(*(endpoint_entry(n, weight=2.0 + n % 2) for n in range(1, 61))))
         for n in range(500):
             for sent in of(g.handle(n * 500_000, arrival(n)), SendAttempt):
                 chosen.append(sent.endpoint % 2)
@@ -90,7 +90,7 @@
 
 def test_a_class_that_fails_on_some_endpoints_goes_elsewhere_and_the_other_class_stays() -> None:
     g = Gateway(settings(plans=UNLIMITED_PLANS, limits={"max_attempts": 1}), 3)
-    g.handle(0, listed(*(backend(n) for n in range(1, 5))))
+    g.handle(0, listed(*(endpoint_entry(n) for n in range(1, 5))))
     chosen: list[list[int]] = [[], []]
     for n in range(400):
         request_class = n % 2
--- a/tests/test_quiescence.py
+++ b/tests/test_quiescence.py
@@ -20,7 +20,7 @@
     TimerFired,
 )
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import DRAINING, GONE, PLANS, READY, SECOND, arrival, backend, listed, settings
+from tests.helpers import DRAINING, PLANS, READY, REMOVED, SECOND, arrival, endpoint_entry, listed, settings
 
 OUTCOMES = list(Outcome)
 CALL_OUTCOMES = [Outcome.OK] * 5 + [
@@ -51,7 +51,7 @@
         self.calls: list[tuple[AddToCounter, int]] = []
         self.timers: list[SetTimer] = []
         self.totals: dict[int, float] = {}
-        self.handle(listed(*(backend(n) for n in range(1, 7))))
+        self.handle(listed(*(endpoint_entry(n) for n in range(1, 7))))
 
     def handle(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -124,9 +124,9 @@
             del self.open[request]
             self.handle(ClientDisconnected(request))
         elif chance < 0.93:
-            state = self.rng.choice([READY, READY, DRAINING, GONE])
+            state = self.rng.choice([READY, READY, DRAINING, REMOVED])
             started_at = self.rng.choice([0, self.now])
-            changed = backend(self.rng.randrange(1, 7), state, started_at=started_at)
+            changed = endpoint_entry(self.rng.randrange(1, 7), state, started_at=started_at)
             self.handle(listed(changed, kind=ListKind.DELTA))
         elif chance < 0.95:
             self.gateway.hand_over()
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -5,12 +5,12 @@
 from quota_ingress.policy.actions import Action, Reject, SendAttempt
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, backend, listed, of, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
 
 
 def gateway(endpoint_count: int, **changes: object) -> Gateway:
     made = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    made.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    made.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return made
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -10,7 +10,7 @@
 from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, backend, listed, of, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
 from tests.support.fleet_simulation import SAFETY, FleetSimulation
 
 FLEET_SIZES = [1, 3, 8, 12, 16, 20, 30, 60, 200]
@@ -65,7 +65,7 @@
     at_once = 0
     for seed in range(30):
         g = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
-        g.handle(SECOND, listed(*(backend(n) for n in range(4)), backend(9, started_at=SECOND)))
+        g.handle(SECOND, listed(*(endpoint_entry(n) for n in range(4)), endpoint_entry(9, started_at=SECOND)))
         g.endpoints.candidates[9].in_flight = 1  # and more it may not have, while others go on
         for n in range(200):
             now = 2 * SECOND + n
@@ -81,9 +81,9 @@
     at_once = 0
     for seed in range(30):
         g = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
-        g.handle(0, listed(*(backend(n) for n in range(4))))
+        g.handle(0, listed(*(endpoint_entry(n) for n in range(4))))
         attempts = [sent for n in range(200) for sent in of(g.handle(n, arrival(n)), SendAttempt)]
-        g.handle(SECOND, listed(backend(9, started_at=SECOND), kind=ListKind.DELTA))
+        g.handle(SECOND, listed(endpoint_entry(9, started_at=SECOND), kind=ListKind.DELTA))
         for sent in attempts:
             g.handle(SECOND, AttemptEnded(sent.request, 0, sent.endpoint, Outcome.OK, 9000, True))
         at_once += sum(sent.endpoint == 9 for sent in of(g.handle(SECOND, arrival(300)), SendAttempt))
@@ -92,12 +92,12 @@
 
 def test_a_warming_endpoint_stays_inside_its_budget() -> None:
     g = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
-    g.handle(0, listed(*(backend(n) for n in range(1, 5))))
+    g.handle(0, listed(*(endpoint_entry(n) for n in range(1, 5))))
     now, sent_at = 0, []
     for n in range(4000):
         now += 5000  # 200 a second over four warm endpoints: 50 each
         if n == 2000:
-            g.handle(now, listed(backend(9, started_at=now), kind=ListKind.DELTA))
+            g.handle(now, listed(endpoint_entry(9, started_at=now), kind=ListKind.DELTA))
         for sent in of(g.handle(now, arrival(n)), SendAttempt):
             sent_at += [now] * (sent.endpoint == 9)
             g.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
@@ -113,8 +113,8 @@
     fleet = [Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), seed) for seed in range(200)]
     started_at, total = 10 * SECOND, 0
     for g in fleet:
-        g.handle(0, listed(*(backend(n) for n in range(1, 10))))
-        g.handle(started_at, listed(backend(10, started_at=started_at), kind=ListKind.DELTA))
+        g.handle(0, listed(*(endpoint_entry(n) for n in range(1, 10))))
+        g.handle(started_at, listed(endpoint_entry(10, started_at=started_at), kind=ListKind.DELTA))
     sent_at: list[int] = []
     for step in range(10):  # each gateway sends twice a second for five seconds: 40 a second to each endpoint
         now = started_at + step * SECOND // 2
@@ -131,7 +131,7 @@
 
 def test_a_fleet_that_is_warming_up_as_a_whole_is_used() -> None:
     g = Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), 3)
-    g.handle(SECOND, listed(*(backend(n, started_at=SECOND) for n in range(1, 5))))
+    g.handle(SECOND, listed(*(endpoint_entry(n, started_at=SECOND) for n in range(1, 5))))
     total = 0
     for n in range(100):
         now = SECOND + n * 1000
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -24,12 +24,12 @@
 )
 from tests.helpers import (
     DRAINING,
-    GONE,
     READY,
+    REMOVED,
     SECOND,
     UNLIMITED_PLANS,
     arrival,
-    backend,
+    endpoint_entry,
     endpoints_used,
     listed,
     of,
@@ -95,7 +95,7 @@
 
 def gateway_with_list(endpoint_count: int, fleet_size: int = FLEET_SIZE) -> Gateway:
     gateway = gateway_of_fleet(fleet_size)
-    gateway.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return gateway
 
 
@@ -107,7 +107,7 @@
     assert MIN_CANDIDATES / 2 < len(candidates) < 3 * MIN_CANDIDATES
     assert preferred < candidates
     assert endpoints_used(gateway, 0, 0) <= preferred
-    drained = [backend(n, DRAINING) for n in preferred]
+    drained = [endpoint_entry(n, DRAINING) for n in preferred]
     gateway.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
     assert endpoints_used(gateway, SECOND, 1000) <= candidates - preferred
 
@@ -118,7 +118,7 @@
     candidate = next(iter(gateway.endpoints.candidates))
     costs = []
     for n in range(40):
-        event = listed(backend(candidate, started_at=n), kind=ListKind.DELTA)
+        event = listed(endpoint_entry(candidate, started_at=n), kind=ListKind.DELTA)
         began = time.process_time()
         gateway.handle(n, event)
         costs.append(time.process_time() - began)
@@ -133,7 +133,7 @@
 def test_the_pooled_limit_goes_by_all_endpoints_and_not_by_the_candidates() -> None:
     told_all = gateway_with_list(9000, 700)
     told_part = gateway_of_fleet(700)
-    candidates = tuple(backend(n) for n in told_all.endpoints.candidates)
+    candidates = tuple(endpoint_entry(n) for n in told_all.endpoints.candidates)
     told_part.handle(0, EndpointsListed(ListKind.FULL, 1, candidates, ready_total=9000))
     assert len(candidates) < 3000
     assert told_part.endpoints.candidates.keys() == told_all.endpoints.candidates.keys()
@@ -160,7 +160,7 @@
 
 
 ENTRY_CHANGES = st.builds(
-    EntryChange, st.integers(1, 60), st.sampled_from([READY, DRAINING, GONE]), st.integers(0, 2)
+    EntryChange, st.integers(1, 60), st.sampled_from([READY, DRAINING, REMOVED]), st.integers(0, 2)
 )
 LIST_EVENTS = st.builds(ListEvent, st.booleans(), st.lists(ENTRY_CHANGES, max_size=60))
 SMALL_SUBSETS = {
@@ -191,10 +191,10 @@
         changed, fresh = gateway_of_fleet(64, seed=0), gateway_of_fleet(64, seed=1)
         expected: dict[int, ListedEndpoint] = {}
         for event in events:
-            entries = [backend(entry.id, entry.state, entry.started_at) for entry in event.entries]
+            entries = [endpoint_entry(entry.id, entry.state, entry.started_at) for entry in event.entries]
             changed.handle(0, listed(*entries, kind=ListKind.FULL if event.is_whole else ListKind.DELTA))
             expected = ({} if event.is_whole else expected) | {entry.id: entry for entry in entries}
-            expected = {n: entry for n, entry in expected.items() if entry.state is not GONE}
+            expected = {n: entry for n, entry in expected.items() if entry.state is not REMOVED}
         fresh.handle(0, listed(*expected.values()))
     ours, theirs = changed.endpoints, fresh.endpoints
     assert ours.listed_endpoints == theirs.listed_endpoints == expected
