--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -6,12 +6,12 @@
 
 from quota_ingress.policy.borrowing_ring import BorrowingRing
 from quota_ingress.policy.call_pacing import CallPacing
-from quota_ingress.policy.customer_quota import Verdict
+from quota_ingress.policy.customer_quota import Decision
 from quota_ingress.policy.demand_rate import DemandRate
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.local_allowance import LocalAllowance
 from quota_ingress.policy.settings import Plan
-from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
+from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
 from quota_ingress.policy.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
@@ -33,6 +33,7 @@
         "local_allowance",
         "plan",
         "refill_rate",
+        "retention",
         "ring",
         "waiting",
         "window",
@@ -52,6 +53,7 @@
         self.window = SECOND  # us in which the bucket fills: one left alone for a window is full
         if plan.rate:
             self.window = max(SECOND, int(plan.burst / plan.rate * SECOND))
+        self.retention = 3 * self.window  # us after the last request during which the state is of use
         self.bucket = TokenBucket(plan.rate, plan.burst, now)
         self.local_allowance = LocalAllowance(plan.rate, plan.burst, gateway_count, units=plan.burst)
         # Empty at first: the gateway may have been restarted after it spent its part.
@@ -77,10 +79,6 @@
         """Corrects the units of an answered request, which are known only with its response."""
         self.bucket.leased_units -= settled_units - estimated_units
 
-    def retention(self) -> int:
-        """Returns the us after the last request during which the state is of use."""
-        return 3 * self.window
-
     def take_waiting(self) -> list[Request]:
         """Returns the requests that waited for a lease, which is no longer requested."""
         waiting = self.waiting
@@ -88,7 +86,7 @@
         self.lease_requested = False
         return waiting
 
-    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Verdict:
+    def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
         """Decides on a request by the leased units and the bound of the shared bucket.
 
         Args:
@@ -101,14 +99,14 @@
         bucket = self.bucket
         if not self.plan.rate or (bucket.leased_units >= units and not self.waiting):
             bucket.advance_to(now)
-            return Verdict.ADMIT
+            return Decision.ADMIT
         if answered or bucket.remaining(now) + bucket.leased_units < units:
-            return Verdict.OVER_QUOTA
+            return Decision.OVER_QUOTA
         if pacing.answer_would_be_late(now, request.useful_until):
-            return Verdict.WITHOUT_COUNTER
+            return Decision.WITHOUT_COUNTER
         if self.lease_requested:
-            return Verdict.AWAIT_LEASE
-        return Verdict.REQUEST_LEASE if pacing.may_call(now) else Verdict.WITHOUT_COUNTER
+            return Decision.AWAIT_LEASE
+        return Decision.REQUEST_LEASE if pacing.may_call(now) else Decision.WITHOUT_COUNTER
 
     def spend(self, units: float) -> None:
         """Takes the units of an admitted request off the lease."""
@@ -169,5 +167,5 @@
             counted_usage=0.0,
             counted_lease=0.0,
             decayed_at=0,
-            lease_success_rate=-1.0,
+            lease_success_rate=NO_LEASE_REQUESTED,
         )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from types import UnionType
 from typing import Any
 
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
@@ -21,7 +22,7 @@
 )
 
 SECOND = 1_000_000
-READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
+READY, DRAINING, REMOVED = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
 
 CLASSES = (
     RequestClass("read", latency_objective=SECOND, deadline=4 * SECOND, idempotency=Idempotency.IDEMPOTENT),
@@ -41,6 +42,7 @@
     Plan("capped", rate=0.0, burst=0.0, max_in_flight=2),
     Plan("ceiling", rate=2.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=8.0),
 )
+UNLIMITED_PLANS = (Plan("free", rate=0.0, burst=0.0),)
 
 
 def settings(**changes: Any) -> Settings:
@@ -68,7 +70,9 @@
     return replace(base, **changes)
 
 
-def backend(number: int, state: EndpointState = READY, started_at: int = 0, **more: Any) -> ListedEndpoint:
+def endpoint_entry(
+    number: int, state: EndpointState = READY, started_at: int = 0, **more: Any
+) -> ListedEndpoint:
     fields: dict[str, Any] = {"zone": 0, "cell": number % 2, "kind": 0, "weight": 1.0} | more
     return ListedEndpoint(id=number, state=state, started_at=started_at, **fields)
 
@@ -87,7 +91,7 @@
 def gateway_with_endpoints(endpoint_count: int = 4, **changes: Any) -> Gateway:
     """A gateway that knows of endpoints 1 to `endpoint_count`."""
     made = Gateway(settings(**changes), seed=1)
-    made.handle(0, listed(*(backend(n) for n in range(1, endpoint_count + 1))))
+    made.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return made
 
 
@@ -99,7 +103,25 @@
     return len(sent)
 
 
-def of(actions: list[Action], kind: type) -> list[Any]:
+def sent_to(gateway: Gateway, now: int, requests: range, **changes: Any) -> list[int]:
+    """Returns the endpoints that these requests are sent to, all at one moment."""
+    attempts = [
+        sent for n in requests for sent in of(gateway.handle(now, arrival(n, **changes)), SendAttempt)
+    ]
+    return [sent.endpoint for sent in attempts]
+
+
+def endpoints_used(gateway: Gateway, now: int, first_request: int) -> set[int]:
+    """Returns the endpoints that 200 requests, one after another, go to."""
+    used = set()
+    for number in range(first_request, first_request + 200):
+        for sent in of(gateway.handle(now, arrival(number)), SendAttempt):
+            used.add(sent.endpoint)
+            gateway.handle(now, AttemptEnded(number, 0, sent.endpoint, Outcome.OK, 50_000, True))
+    return used
+
+
+def of(actions: list[Action], kind: type | UnionType) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from quota_ingress.net.downstream import connection as connection_module
 from quota_ingress.net.downstream import timeouts as timeouts_module
+from quota_ingress.net.downstream.connection import ClientConnection
 from quota_ingress.net.downstream.stages import ConnectionStages
 from quota_ingress.net.http import MemoryBudget
 from quota_ingress.policy.events import (
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("start", [b"", b"GET /read HT", request("x", "order")[:-4]])
 @pytest.mark.usefixtures("backend_answers")
-async def test_a_client_that_does_not_finish_is_told_so_and_closed(
+async def test_an_incomplete_request_times_out_with_408(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch, start: bytes
 ) -> None:
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.usefixtures("backend_answers")
-async def test_a_later_request_has_its_own_time_and_an_idle_connection_is_closed_in_the_end(
+async def test_a_later_request_has_its_own_timeout_and_idle_connections_expire(
     ingress: Ingress, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.usefixtures("backend_answers")
-async def test_the_sweep_outlives_connections_that_are_being_closed(ingress: Ingress) -> None:
+async def test_the_sweep_survives_connections_that_are_being_closed(ingress: Ingress) -> None:
     """Their descriptors are closed before the loop tells of their end: the kernel knows them no more."""
     ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
     ends[0][1].write(request("x")[:20])
@@ -82,14 +82,14 @@
         writer.close()
 
 
-async def test_a_client_that_stops_in_a_long_body_is_told_and_the_attempt_never_ran(
+async def test_a_body_that_stalls_times_out_and_its_attempt_is_cancelled(
     pair: IngressAndBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reader, writer = await pair.connect(save(f"Content-Length: {4 * len(MEGABYTE)}"))
     writer.write(MEGABYTE + MEGABYTE)
     await pair.ingress.script.seen(RequestArrived)
     await pair.heard(MEGABYTE)
-    monkeypatch.setattr(connection_module, "HEAD_TIMEOUT_S", -1000.0)
+    monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", -1000.0)
     pair.ingress.listener._sweep()
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
@@ -99,18 +99,18 @@
     writer.close()
 
 
-def test_a_body_is_given_time_by_its_progress() -> None:
+def test_the_timeout_of_a_body_grows_with_its_progress() -> None:
     class Nobody:
         memory_budget = MemoryBudget()
         engine = None
-        stages: ConnectionStages[object] = ConnectionStages()
+        stages = ConnectionStages()
 
-    connection = connection_module.ClientConnection(Nobody())  # type: ignore[arg-type]
-    connection._request, body = connection.reader.message, connection.reader.message.body
+    connection = ClientConnection(Nobody())  # type: ignore[arg-type]
+    connection._pipeline.current, body = connection.reader.message, connection.reader.message.body
     body.append(b"x" * 160_000)  # five seconds' worth, behind 2.5 s for the head
     connection._last_data_at = 7_000_000
     assert not connection.is_too_slow(7_400_000) and connection.is_too_slow(7_600_000)
     body.append(b"x" * 10_000_000)  # it was fast, and then it stopped
     assert not connection.is_too_slow(8_900_000) and connection.is_too_slow(9_100_000)
-    connection._read_paused = True  # held up here: that time is not the client's
+    connection._read_flow.paused = True  # held up here: that time is not the client's
     assert not connection.is_too_slow(60_000_000)
