--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter's client and the watch over loopback sockets."""
+"""The counter's client over loopback sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 LONG, SHORT = 10_000_000, 20_000
 
 
-class Calls:
+class RecordedCalls:
     def __init__(self, server: PeerServer, timeout_us: int) -> None:
         self.counter, self.server = CounterClient((HOST, server.port), timeout_us), server
         self.answers: list[tuple[str, Outcome, float]] = []
@@ -44,26 +44,27 @@
 
 
 @pytest.fixture(autouse=True)
-def one_line(monkeypatch: pytest.MonkeyPatch) -> None:
+def one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 1)  # but where a test says otherwise
 
 
-async def lines(server: PeerServer, count: int) -> list[bytes]:
-    def told() -> list[bytes]:
-        return [x for p in server.peers for x in p.data.split(b"\r\n") if x.startswith(b"add")]
+async def received_adds(server: PeerServer, count: int) -> list[bytes]:
+    def adds() -> list[bytes]:
+        lines = [line for peer in server.peers for line in peer.data.split(b"\r\n")]
+        return [line for line in lines if line.startswith(b"add")]
 
-    await server.until(lambda: len(told()) >= count)
-    return told()
+    await server.until(lambda: len(adds()) >= count)
+    return adds()
 
 
 async def test_calls_are_pipelined_and_answers_come_in_their_order(server: PeerServer) -> None:
-    calls = Calls(server, LONG)
+    calls = RecordedCalls(server, LONG)
     await calls.connect()
     calls.add("a", -2.5)
     calls.add("b", 1 / 3, 90_000_000)
     calls.add("c")
     calls.add("d")
-    sent = await lines(server, 4)
+    sent = await received_adds(server, 4)
     assert sent[0] == b"add 00000000000000ab -2.500000 4000"
     assert sent[1] == b"add 00000000000000ab 0.333333 60000"
     server.peers[0].transport.write(b"ok 37.99")
@@ -77,11 +78,11 @@
     calls.counter.stop()
 
 
-async def test_a_late_answer_is_dropped_and_the_next_not_taken_for_it(server: PeerServer) -> None:
-    calls = Calls(server, SHORT)
+async def test_a_late_answer_is_dropped_and_not_taken_for_the_next_one(server: PeerServer) -> None:
+    calls = RecordedCalls(server, SHORT)
     await calls.connect()
     calls.add("late")
-    await lines(server, 1)
+    await received_adds(server, 1)
     assert await calls.answered(1) == [("late", Outcome.TIMEOUT, 0.0)]
     server.heard = lambda peer: peer.transport.write(b"ok 5\r\nok 6\r\n")
     calls.add("next")
@@ -90,44 +91,46 @@
 
 
 @pytest.mark.parametrize("reply", [b"what\r\n", b"pong\r\n", b"ok nan\r\n", b"ok\r\n", b"x" * 1000])
-async def test_garbage_ends_the_connection_and_a_new_one_is_made(server: PeerServer, reply: bytes) -> None:
-    calls = Calls(server, LONG)
+async def test_a_malformed_answer_ends_the_connection_and_a_new_one_is_made(
+    server: PeerServer, reply: bytes
+) -> None:
+    calls = RecordedCalls(server, LONG)
     await calls.connect()
     calls.add("a")
-    await lines(server, 1)
+    await received_adds(server, 1)
     server.peers[0].transport.write(reply)
     assert await calls.answered(1) == [("a", Outcome.RESET, 0.0)]  # written: it may have been added
     await server.until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
-async def test_a_connection_that_breaks_under_a_call_is_a_reset_and_no_time_out(server: PeerServer) -> None:
-    calls = Calls(server, LONG)
+async def test_a_connection_that_breaks_under_a_call_is_a_reset_and_no_timeout(server: PeerServer) -> None:
+    calls = RecordedCalls(server, LONG)
     await calls.connect()
     calls.add("a")
-    await lines(server, 1)
+    await received_adds(server, 1)
     server.peers[0].transport.abort()
     assert await calls.answered(1) == [("a", Outcome.RESET, 0.0)]
     calls.counter.stop()
 
 
 async def test_a_call_without_a_connection_added_nothing(server: PeerServer) -> None:
-    calls = Calls(server, LONG)
+    calls = RecordedCalls(server, LONG)
     calls.add("a")
     assert calls.answers == [("a", Outcome.CONNECT_FAILED, 0.0)]
 
 
-async def test_a_spoilt_answer_or_a_stall_takes_only_its_own_connections_calls_with_it(
+async def test_a_malformed_answer_or_a_stall_ends_only_the_calls_of_its_own_connection(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
-    calls = Calls(server, LONG)
+    calls = RecordedCalls(server, LONG)
     await calls.connect()
     calls.add("a", name=1)
     calls.add("b", name=2)
     calls.add("c", name=3)
     calls.add("c, too", name=3)  # in its order: behind the first
-    await lines(server, 4)
+    await received_adds(server, 4)
     first, other = sorted(server.peers, key=lambda p: b"add 0000000000000001 " not in p.data)
     assert first.data.count(b"add") == 3 and other.data.count(b"add") == 1
     first.transport.write(b"ok {}\r\n")
@@ -139,8 +142,8 @@
     calls.counter.stop()
 
 
-async def test_an_answer_a_little_late_still_counts(server: PeerServer) -> None:
-    calls = Calls(server, 200_000)
+async def test_an_answer_that_is_a_little_late_still_counts(server: PeerServer) -> None:
+    calls = RecordedCalls(server, 200_000)
     await calls.connect()
     loop = asyncio.get_running_loop()
     server.heard = lambda peer: loop.call_later(0.3, peer.transport.write, b"ok 5\r\n") and None
@@ -149,18 +152,18 @@
     calls.counter.stop()
 
 
-async def test_calls_keep_off_a_connection_that_is_late(
+async def test_calls_avoid_a_connection_that_is_late(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
-    calls = Calls(server, SHORT)
+    calls = RecordedCalls(server, SHORT)
     await calls.connect()
     calls.add("stuck", name=1)
     await calls.answered(1)
     (stuck,) = [p for p in server.peers if b"add" in p.data]
     for name in range(2, 6):
         calls.add("other", name=name)
-    await lines(server, 5)
+    await received_adds(server, 5)
     assert stuck.data.count(b"add") == 1
     calls.counter.stop()
 
@@ -169,10 +172,10 @@
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
-    calls = Calls(server, SHORT)
+    calls = RecordedCalls(server, SHORT)
     await calls.connect()
     calls.add("stuck", name=1)
-    await lines(server, 1)
+    await received_adds(server, 1)
     (stuck,) = [p for p in server.peers if b"add" in p.data]
     server.heard = lambda peer: None if peer is stuck else peer.transport.write(b"ok 5\r\n")
     calls.add("later", name=2)
@@ -181,11 +184,11 @@
     calls.counter.stop()
 
 
-async def test_a_counter_that_is_left_ends_the_calls_under_way(server: PeerServer) -> None:
-    calls = Calls(server, LONG)
+async def test_a_client_that_drains_lets_its_calls_in_flight_end(server: PeerServer) -> None:
+    calls = RecordedCalls(server, LONG)
     await calls.connect()
     calls.add("a")
-    await lines(server, 1)
+    await received_adds(server, 1)
     left = asyncio.create_task(calls.counter.drain())
     await asyncio.sleep(0)
     assert not left.done()
@@ -196,24 +199,20 @@
     assert len(server.peers) == 1
 
 
-async def test_an_idle_connection_is_pinged_and_a_silent_one_given_up(
+async def test_an_idle_connection_is_pinged_and_a_silent_one_aborted(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connection_module, "PING_INTERVAL", 0.01)
     monkeypatch.setattr(connection_module, "DEAD_CONNECTION_TIMEOUT", 0.05)
-    calls = Calls(server, LONG)
+    calls = RecordedCalls(server, LONG)
     await calls.connect()
     await server.until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
     await server.until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
-# The watch.
-
-
-# A fleet that comes back together.
-
-
-async def test_a_large_fleet_holds_fewer_lines_to_the_counter_each(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_each_ingress_of_a_large_fleet_holds_fewer_connections_to_the_counter(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 3)
     assert [CounterClient((HOST, 1), LONG, size)._connection_count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
--- a/tests/test_dial.py
+++ b/tests/test_dial.py
@@ -43,7 +43,7 @@
     return found
 
 
-async def test_a_counters_connection_that_is_given_up_as_it_comes_up_leaves_no_timer(
+async def test_a_counter_connection_that_times_out_as_it_comes_up_leaves_no_timer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its beat went on, and wrote to what had been closed."""
@@ -63,7 +63,7 @@
     server.stop()
 
 
-async def test_a_watch_that_is_given_up_as_it_comes_up_leaves_no_timer(
+async def test_a_watch_that_times_out_as_it_comes_up_leaves_no_timer(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It told later on that discovery was silent, while another watch was open."""
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -38,19 +38,19 @@
 from tests.support.fake_network import FakeNetwork, sender
 
 FLEET, MANY = 7100, 90_000
-LONG_FLEET = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
+LARGE_FLEET_SETTINGS = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET}).encode())
 
 
 # What the engine tells the policy of a long list.
 
 
-class LongWorld(FakeNetwork):
-    """An ingress of a large fleet, to the real module if none is given."""
+class LargeFleetNetwork(FakeNetwork):
+    """An engine of a large fleet, with a scripted policy if none is given."""
 
     def __init__(self, script: Any = None) -> None:
         super().__init__(script or Script(sender()))
-        index = SettingsIndex(LONG_FLEET, RAW)
-        self.engine = Engine(self.script, LONG_FLEET, index, self, self, lambda: self.time)
+        index = SettingsIndex(LARGE_FLEET_SETTINGS, RAW)
+        self.engine = Engine(self.script, LARGE_FLEET_SETTINGS, index, self, self, lambda: self.time)
         self.known: dict[int, str] = {}
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
@@ -64,8 +64,8 @@
         return set(self.engine.endpoints.numbers)
 
 
-def test_the_module_is_told_of_the_part_held_and_how_many_are_ready_in_all() -> None:
-    world = LongWorld()
+def test_the_policy_is_notified_of_its_subset_and_of_how_many_are_ready_in_all() -> None:
+    world = LargeFleetNetwork()
     world.engine.update_endpoints(endpoint_list(*(endpoint_fields(n) for n in range(20_000))))
     held = world.held()
     assert (
@@ -82,8 +82,8 @@
     assert world.held() == held and len(world.engine.directory) == 20_000
 
 
-def test_dealing_anew_tells_the_module_just_the_difference() -> None:
-    world, gateway = LongWorld(), Gateway(LONG_FLEET, 1)
+def test_another_subset_notifies_the_policy_of_just_the_difference() -> None:
+    world, gateway = LargeFleetNetwork(), Gateway(LARGE_FLEET_SETTINGS, 1)
     world.engine.update_endpoints(endpoint_list(*(endpoint_fields(n) for n in range(1000))))
     assert len(world.held()) == 1000 and world.last.ready_total == 0  # all of them
     world.engine.update_endpoints(
@@ -123,7 +123,7 @@
         max_size=10,
     ),
 )
-def test_engine_and_module_hold_the_same_after_any_lists_and_changes(
+def test_engine_and_policy_hold_the_same_after_any_snapshots_and_deltas(
     events: list[tuple[bool, list[tuple[int, str, int]]]],
 ) -> None:
     with pytest.MonkeyPatch.context() as few:
@@ -134,7 +134,11 @@
             "MIN_CANDIDATES": 6,
         }.items():
             few.setattr(subsetting, name, value)
-        world, gateway, now = LongWorld(), Gateway(LONG_FLEET, 1), dict[str, dict[str, Any]]()
+        world, gateway, now = (
+            LargeFleetNetwork(),
+            Gateway(LARGE_FLEET_SETTINGS, 1),
+            dict[str, dict[str, Any]](),
+        )
         for whole, changes in events:
             entries = [endpoint_fields(*change) for change in changes]
             world.engine.update_endpoints(endpoint_list(*entries, is_snapshot=whole))
@@ -159,7 +163,7 @@
 
 def change_cost(count: int) -> float:
     """s of CPU for one change, from the line to the module, the least of some."""
-    world, costs = LongWorld(Gateway(LONG_FLEET, 1)), []
+    world, costs = LargeFleetNetwork(Gateway(LARGE_FLEET_SETTINGS, 1)), []
     maintenance = OperatorOverrides(lambda: 0, world.engine.update_endpoints, world.engine.directory)
     maintenance.apply_list(endpoint_list(*(endpoint_fields(n) for n in range(count))))
     held = next(int(name[2:], 16) for name in world.engine.endpoints.numbers)
@@ -181,8 +185,8 @@
 # Operators.
 
 
-def test_operators_take_out_any_backend_that_is_listed_held_or_not() -> None:
-    world = LongWorld()
+def test_operators_take_any_listed_endpoint_offline_in_the_subset_or_not() -> None:
+    world = LargeFleetNetwork()
     maintenance = OperatorOverrides(lambda: 7_000_000, world.engine.update_endpoints, world.engine.directory)
     maintenance.apply_list(endpoint_list(*(endpoint_fields(n) for n in range(2000))))
     held = world.held()
@@ -198,7 +202,7 @@
         assert world.engine.directory[name].started_us == 7_000_000 and world.last.ready_total == 2000
 
 
-def test_names_of_backends_long_replaced_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_names_of_endpoints_replaced_long_ago_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(maintenance_module, "MAX_REMOVED_NAMES", 100)
     maintenance = overrides_of_own_directory(lambda: 0)
     maintenance.apply_list(endpoint_list(endpoint_fields(0)))
@@ -243,7 +247,7 @@
     return next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
 
 
-def test_a_process_that_held_90_000_backends_before_stays_under_64_mb_and_reads_none_at_sighup(
+def test_a_process_that_knew_90_000_endpoints_stays_under_64_mb_and_reads_none_at_sighup(
     tmp_path: Path,
 ) -> None:
     """Read whole, the list in its configuration took it to 99 MB, and to 130 at each SIGHUP."""
@@ -263,7 +267,7 @@
     assert reload_config(str(path)).known_endpoints is None
 
 
-def test_a_broken_entry_among_those_held_before_is_told_and_the_whole_list_asked_for(
+def test_a_malformed_known_list_is_logged_and_a_snapshot_fetched(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "config.json"
@@ -278,7 +282,7 @@
     assert "known: not understood" in caplog.text
 
 
-async def test_a_process_that_is_told_90_000_backends_twice_stays_under_64_mb(tmp_path: Path) -> None:
+async def test_a_process_that_receives_90_000_endpoints_twice_stays_under_64_mb(tmp_path: Path) -> None:
     """Its module took 127 MB, and the list was longer than any that it read."""
     boxes = [endpoint_fields(n, since_ms=1_700_000_000_000 + n) for n in range(MANY)]
     whole = json.dumps({"index": 1, "snapshot": True, "endpoints": boxes}).encode()
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -25,15 +25,15 @@
 SECOND = 1_000_000
 NOW = 1_800_000_000 * SECOND  # the fleet's clock
 HOUR = 3600 * SECOND
-OFF = [0, 3 * SECOND, HOUR, -3 * SECOND, -HOUR]
+CLOCK_OFFSETS = [0, 3 * SECOND, HOUR, -3 * SECOND, -HOUR]
 
 
 def age(starts: StartTimes, name: str, told: int, now: int) -> int:
     return now - starts.local_start(name, told, now)
 
 
-@pytest.mark.parametrize("off", OFF)
-def test_a_start_that_has_just_been_told_is_never_taken_for_older_than_it_is(off: int) -> None:
+@pytest.mark.parametrize("off", CLOCK_OFFSETS)
+def test_a_start_that_has_just_been_reported_never_counts_as_older_than_it_is(off: int) -> None:
     """Nor is any other one: `off` is what this process's wall clock is ahead of the fleet's."""
     starts, told = StartTimes(), {"a": NOW - 8 * SECOND, "b": NOW - SECOND, "c": NOW - 60 * SECOND}
     for moment in told.values():
@@ -44,21 +44,21 @@
     assert age(starts, "d", NOW + 5 * SECOND, NOW + 5 * SECOND + off) == 0
 
 
-@pytest.mark.parametrize("off", OFF)
-def test_a_start_grows_old_from_its_telling_on(off: int) -> None:
+@pytest.mark.parametrize("off", CLOCK_OFFSETS)
+def test_a_start_ages_from_its_report_on(off: int) -> None:
     """So that none stays cold beyond one ramp, however wrong the clock is."""
     starts = StartTimes()
     first = age(starts, "a", NOW - SECOND, NOW + off)
     assert age(starts, "a", NOW - SECOND, NOW + off + 30 * SECOND) == first + 30 * SECOND
 
 
-def test_with_a_right_clock_the_ages_are_right_once_a_start_has_been_told_at_once() -> None:
+def test_with_a_correct_clock_ages_are_correct_once_a_start_was_reported_at_once() -> None:
     starts = StartTimes()
     assert age(starts, "a", NOW, NOW) == 0
     assert age(starts, "late", NOW - 7 * SECOND, NOW) == 7 * SECOND  # as after a discovery that was down
 
 
-@pytest.mark.parametrize("off", OFF)
+@pytest.mark.parametrize("off", CLOCK_OFFSETS)
 def test_a_later_start_shows_how_old_the_others_are_at_the_least(off: int) -> None:
     """A fresh process among a release: its list is old, and what is told next is not."""
     starts, clock = StartTimes(), NOW + off
@@ -69,9 +69,9 @@
     assert found <= 20 * SECOND and (off < 0 or found >= 19 * SECOND)
 
 
-def test_the_module_hears_of_backends_that_are_older_than_they_counted_for() -> None:
+def test_the_policy_is_notified_of_endpoints_that_are_older_than_they_counted_for() -> None:
     script, clock, loop = Script(), NOW, asyncio.new_event_loop()
-    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), Pretended(), loop, lambda: clock)
+    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
 
     def told(whole: bool, **since: int) -> dict[int, int]:
         named = [
@@ -88,7 +88,7 @@
     loop.close()
 
 
-def test_the_reserve_is_what_the_unused_part_of_the_cold_budget_covers() -> None:
+def test_the_age_tolerance_is_what_the_unused_part_of_the_cold_budget_covers() -> None:
     safety = SETTINGS.safety
     spare, ramp = age_tolerance(safety), safety.warmup_time
     for age_us in range(0, ramp, ramp // 50):
@@ -101,8 +101,8 @@
     assert age_tolerance(replace(safety, initial_capacity_fraction=1.0)) == 0
 
 
-@pytest.mark.parametrize("off", OFF)
-def test_an_age_is_too_great_by_the_reserve_at_most(off: int) -> None:
+@pytest.mark.parametrize("off", CLOCK_OFFSETS)
+def test_an_age_is_too_great_by_the_tolerance_at_most(off: int) -> None:
     starts, told = StartTimes(SECOND // 2), {"a": NOW - 8 * SECOND, "b": NOW - SECOND // 4}
     for moment in told.values():
         starts.observe(moment, NOW + off)
@@ -112,26 +112,26 @@
             assert age(starts, name, moment, NOW) <= NOW - moment
 
 
-def test_what_lies_further_back_than_a_step_explains_is_long_ago() -> None:
+def test_a_start_further_back_than_a_clock_step_explains_is_long_ago() -> None:
     starts = StartTimes()
     assert starts.local_start("a", 0, NOW) == LONG_AGO
     assert starts.local_start("a", NOW - MAX_CLOCK_STEP_US - 1, NOW) == LONG_AGO
     assert starts.local_start("a", NOW - MAX_CLOCK_STEP_US + 1, NOW) != LONG_AGO
 
 
-def test_a_start_told_as_earlier_than_the_one_before_happens_now() -> None:
+def test_a_start_reported_as_earlier_than_the_previous_one_happens_now() -> None:
     """The clock that it was read from has been stepped back."""
     starts = StartTimes()
     starts.local_start("a", NOW, NOW)
     assert age(starts, "a", NOW - HOUR, NOW + 30 * SECOND) == 0
 
 
-@pytest.mark.parametrize("off", OFF)
-def test_a_backend_put_back_by_operators_starts_then(off: int) -> None:
+@pytest.mark.parametrize("off", CLOCK_OFFSETS)
+def test_an_endpoint_put_online_by_operators_starts_then(off: int) -> None:
     """That moment is of this machine's own clock, and makes no other backend older."""
     script, clock = Script(), NOW + off
     loop = asyncio.new_event_loop()
-    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), Pretended(), loop, lambda: clock)
+    engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
     maintenance = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
     engine.endpoints.restored_at = maintenance.restarted_at
 
@@ -157,15 +157,15 @@
     loop.close()
 
 
-class Pretended:
-    """Takes the place of the backends' connections."""
+class FakeUpstream:
+    """Takes the place of the connections to backends."""
 
     def register_endpoint(self, entry: object, backend: int) -> None: ...
     def reconcile(self, gone: object) -> None: ...
 
 
 @pytest.mark.parametrize("off", [0, 3600, -3600])
-async def test_a_fresh_process_with_a_wrong_clock_does_not_push_a_cold_backend_over(
+async def test_a_fresh_process_with_a_wrong_clock_does_not_overload_a_cold_backend(
     tmp_path: Path, off: int
 ) -> None:
     """A real process whose wall clock is off from its start on; one of four backends has just started."""
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -3,24 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-import json
-from pathlib import Path
-from typing import Any
 
 import pytest
 
-from quota_ingress.config import load_config
 from quota_ingress.net.discovery import watch as discovery_module
 from quota_ingress.net.discovery import watch_connection, watch_retry
-from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE, decode_endpoint_list
+from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.watch import DiscoveryWatch
-from quota_ingress.net.discovery.watch_connection import WatchConnection
-from quota_ingress.net.lifecycle import ingress as ingress_module
-from quota_ingress.net.lifecycle.ingress import Ingress
-from quota_ingress.policy.endpoint_list import EndpointState
 from tests.net_helpers import HOST, Peer, PeerServer
-from tests.process_helpers import config
 from tests.support.discovery import (
     WATCH_HEAD,
     DiscoveryAgent,
@@ -132,100 +123,6 @@
     agent.stop()
 
 
-# The start.
-
-
-def made_ingress(tmp_path: Path, agent: PeerServer) -> Ingress:
-    known = list_document(41, True, leaving="up", staying="up")
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(known=known, discovery=f"{HOST}:{agent.port}")))
-    return Ingress(load_config(str(path), {}))
-
-
-async def test_a_start_takes_no_client_before_it_knows_what_the_agent_has(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(ingress_module, "LIST_WAIT_SECONDS", 10.0)
-    agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False, leaving="draining"))))
-    await agent.start()
-    ingress = made_ingress(tmp_path, agent)
-    before: list[dict[str, str]] = []
-    listen = ingress.listener.listen
-
-    async def listened(host: str, port: int, inherited: int | None = None) -> int:
-        before.append(
-            {name: STATUS_BY_STATE[entry.state] for name, entry in ingress.overrides.entries.items()}
-        )
-        return await listen(host, port, inherited)
-
-    monkeypatch.setattr(ingress.listener, "listen", listened)
-    await ingress.start()
-    assert before == [{"leaving": "draining", "staying": "up"}]
-    await stopped(ingress)
-    agent.stop()
-
-
-async def test_a_silent_agent_stops_no_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ingress_module, "LIST_WAIT_SECONDS", 0.01)
-    agent = DiscoveryAgent()
-    await agent.start()
-    ingress = made_ingress(tmp_path, agent)
-    await ingress.start()
-    assert ingress.ready() and ingress.overrides.entries["leaving"].state is EndpointState.READY
-    await stopped(ingress)
-    agent.stop()
-
-
-async def test_a_line_on_the_watch_that_was_left_does_not_undo_the_new_list(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """After a reload, both can be read in one turn of the loop: the new list first, and then the old line."""
-    watches: list[WatchConnection] = []
-
-    class Kept(WatchConnection):
-        def __init__(self, discovery: DiscoveryWatch, whole: bool) -> None:
-            super().__init__(discovery, whole)
-            watches.append(self)
-
-    monkeypatch.setattr(discovery_module, "WatchConnection", Kept)
-    old, new = (
-        DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False)))),
-        DiscoveryAgent(snapshot_answer(list_line(list_document(7, True, staying="up")))),
-    )
-    await old.start()
-    await new.start()
-    ingress = made_ingress(tmp_path, old)
-    await ingress.start()
-    done, listed = asyncio.Event(), ingress.overrides.apply_list
-
-    def listed_then_read(listing: EndpointList, kind: Any = None) -> None:
-        listed(listing, kind)
-        if listing.is_snapshot:
-            done.set()
-            watches[0].data_received(chunk(list_line(list_document(43, False, leaving="up"))))
-
-    monkeypatch.setattr(ingress.overrides, "apply_list", listed_then_read)
-    path = tmp_path / "other.json"
-    path.write_text(json.dumps(config(discovery=f"{HOST}:{new.port}")))
-    ingress.reload(str(path))
-    async with asyncio.timeout(10):
-        await done.wait()
-    assert list(ingress.overrides.entries) == ["staying"] and ingress.overrides.list_version == 7
-    await stopped(ingress)
-    old.stop()
-    new.stop()
-
-
-async def stopped(ingress: Ingress) -> None:
-    ingress.control_plane.stop()
-    ingress.listener.stop()
-    ingress.upstream.stop()
-    ingress.admin.stop()
-
-
-# What another process of the same ingress was told.
-
-
 async def test_a_delta_from_the_peer_process_is_applied_only_on_its_base_version() -> None:
     """One that skips versions would hide what lies between; one that the watch tells again is passed over."""
     heard: list[EndpointList] = []
