--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from types import UnionType
 from typing import Any
 
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
@@ -120,7 +121,7 @@
     return used
 
 
-def of(actions: list[Action], kind: type) -> list[Any]:
+def of(actions: list[Action], kind: type | UnionType) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
