--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import os
+import signal
 import subprocess
 import sys
 from collections.abc import Callable
@@ -16,30 +17,53 @@
 ROOT = Path(__file__).parent.parent
 
 
-def start(path: Path, fds: tuple[int, ...] = (), **more: str) -> subprocess.Popen[str]:
-    env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")} | more
-    env["EDGE_CONFIG"] = str(path)
-    command = [sys.executable, "-m", "quota_ingress"]
-    return subprocess.Popen(command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True, pass_fds=fds)
+def start_ingress(path: Path, inherited: tuple[int, ...] = (), **environment: str) -> subprocess.Popen[str]:
+    """The program as the platform starts it, with its configuration at `path`."""
+    own = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
+    return subprocess.Popen(
+        [sys.executable, "-m", "quota_ingress"],
+        cwd=ROOT,
+        env=own | environment | {"EDGE_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+        text=True,
+        pass_fds=inherited,
+    )
 
 
-def listens(ran: subprocess.Popen[str]) -> int:
-    """The port that it took, as its log tells."""
-    assert ran.stderr
-    line = ran.stderr.readline()
+async def stop_orderly(process: subprocess.Popen[str], timeout_seconds: float = 60) -> str:
+    """Sends SIGTERM, and returns the rest of the log of a process that ends as it should."""
+    process.send_signal(signal.SIGTERM)
+    _, errors = await asyncio.to_thread(process.communicate, timeout=timeout_seconds)
+    assert process.returncode == 0 and "Traceback" not in errors
+    return errors
+
+
+def listening_port(process: subprocess.Popen[str]) -> int:
+    """The port that clients connect to, once the log says that it accepts."""
+    assert process.stderr
+    line = process.stderr.readline()
     while line and "listening on " not in line:
-        line = ran.stderr.readline()
+        line = process.stderr.readline()
     return int(line.rpartition(":")[2])
 
 
-def config(**changes: Any) -> dict[str, Any]:
+def config_document(**changes: Any) -> dict[str, Any]:
+    """A configuration with no endpoints, and with neither discovery nor counter to be reached."""
     nowhere = f"{HOST}:1"
-    base = {"name": "n0", "listen": f"{HOST}:0", "discovery": nowhere, "counter": nowhere, "seed": "8c1f"}
-    known = {"index": 1, "snapshot": True, "endpoints": []}
-    return base | {"limits": {}, "settings": RAW, "known": known} | changes
-
-
-def as_discovery(index: int, *backends: dict[str, Any]) -> Callable[[Peer], None]:
+    document = {
+        "name": "n0",
+        "listen": f"{HOST}:0",
+        "discovery": nowhere,
+        "counter": nowhere,
+        "seed": "8c1f",
+        "limits": {},
+        "settings": RAW,
+        "known": {"index": 1, "snapshot": True, "endpoints": []},
+    }
+    return document | changes
+
+
+def answer_as_discovery(index: int, *backends: dict[str, Any]) -> Callable[[Peer], None]:
     """Gives the whole list to whoever asks for it, and to a watch that names no version of this one's."""
 
     def heard(peer: Peer) -> None:
@@ -58,7 +82,8 @@
     return heard
 
 
-def as_counter(peer: Peer) -> None:
+def answer_as_counter(peer: Peer) -> None:
+    """Grants whatever is asked for, and keeps the calls that add units."""
     while b"\r\n" in peer.data:
         call, _, peer.data = peer.data.partition(b"\r\n")
         if call.startswith(b"add "):
@@ -67,7 +92,8 @@
         peer.transport.write(b"ok 1\r\n" if call.startswith(b"add ") else b"pong\r\n")
 
 
-async def ask(port: int, data: bytes) -> bytes:
+async def fetch(port: int, data: bytes) -> bytes:
+    """The answer to one request on a connection of its own."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
     try:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -5,7 +5,6 @@
 import asyncio
 import json
 import re
-import signal
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -14,7 +13,15 @@
 
 from quota_ingress.config import ConfigError, ConfigUnreadableError, load_config, reload_config
 from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
-from tests.process_helpers import as_counter, as_discovery, ask, config, listens, start
+from tests.process_helpers import (
+    answer_as_counter,
+    answer_as_discovery,
+    config_document,
+    fetch,
+    listening_port,
+    start_ingress,
+    stop_orderly,
+)
 
 
 @pytest.mark.parametrize(
@@ -23,14 +30,14 @@
         "no json",
         "[]",
         "{}",
-        json.dumps(config(listen="here")),
-        json.dumps(config(seed="?")),
-        json.dumps(config(settings={})),
+        json.dumps(config_document(listen="here")),
+        json.dumps(config_document(seed="?")),
+        json.dumps(config_document(settings={})),
     ],
 )
 def test_bad_configuration_is_one_line(tmp_path: Path, text: str) -> None:
     (tmp_path / "config.json").write_text(text)
-    ran = start(tmp_path / "config.json")
+    ran = start_ingress(tmp_path / "config.json")
     _, errors = ran.communicate(timeout=60)
     assert ran.returncode == 1 and errors.count("\n") == 1 and errors.startswith("quota_ingress: ")
 
@@ -40,16 +47,17 @@
     """The whole list is asked for in its place, and requests are served by it."""
     backend = await PeerServer(answers(OK)).start()
     here = {"name": "s-1", "address": f"{HOST}:{backend.port}", "status": "up"}
-    agent, counter = await PeerServer(as_discovery(5, here)).start(), await PeerServer(as_counter).start()
-    made = config(known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}")
+    agent, counter = (
+        await PeerServer(answer_as_discovery(5, here)).start(),
+        await PeerServer(answer_as_counter).start(),
+    )
+    made = config_document(known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}")
     (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json")
-    port = await asyncio.to_thread(listens, ran)
+    ran = start_ingress(tmp_path / "config.json")
+    port = await asyncio.to_thread(listening_port, ran)
     await agent.until(lambda: agent.watched == [b"GET /discovery/hosts?watch=1&from=5"])
-    assert (await ask(port, request("a1"))).startswith(b"HTTP/1.1 200 ")
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    assert (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 ")
+    await stop_orderly(ran)
     for server in (backend, agent, counter):
         server.stop()
 
@@ -69,14 +77,14 @@
 )
 def test_an_error_names_the_key(tmp_path: Path, changes: dict[str, Any], message: str) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(**changes)))
+    path.write_text(json.dumps(config_document(**changes)))
     with pytest.raises(ConfigError, match=f"^{re.escape(message)}"):
         load_config(str(path), {})
 
 
 @pytest.mark.parametrize("key", ["listen", "discovery", "seed", "settings"])
 def test_a_missing_key_is_named(tmp_path: Path, key: str) -> None:
-    document = config()
+    document = config_document()
     del document[key]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
@@ -95,7 +103,7 @@
 
 def test_the_environment_goes_before_the_file_at_a_start_and_not_at_a_reload(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(admin=f"{HOST}:2", counter=None)))
+    path.write_text(json.dumps(config_document(admin=f"{HOST}:2", counter=None)))
     environment = {
         "EDGE_LISTEN": "10.0.0.4:7070",
         "EDGE_DISCOVERY": "10.2.0.1:8500",
@@ -125,7 +133,7 @@
 
 def test_what_the_file_leaves_out_has_a_default(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    document = config()
+    document = config_document()
     del document["limits"]
     del document["known"]
     document["settings"] = RAW | {"ceilings": {**RAW["ceilings"]}}
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,7 @@
 
 from quota_ingress.net.descriptors import DescriptorBudget
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, request
-from tests.process_helpers import ROOT, as_counter, ask, config, listens
+from tests.process_helpers import ROOT, answer_as_counter, config_document, fetch, listening_port
 
 LIMIT = 256  # descriptors, the least that the terms allow
 CROWD = 2 * LIMIT
@@ -75,7 +75,7 @@
         left = began + within - time.monotonic()
         try:
             async with asyncio.timeout(max(0.0, left)):
-                if (await ask(port, request(f"{ids}{n}"))).startswith(b"HTTP/1.1 200 "):
+                if (await fetch(port, request(f"{ids}{n}"))).startswith(b"HTTP/1.1 200 "):
                     return time.monotonic() - began
         except (OSError, EOFError, TimeoutError):
             if left <= 0:
@@ -95,9 +95,9 @@
         endpoints = [{"name": n, "address": f"{HOST}:{ports[n]}", "status": s} for n, s in status.items()]
         return {"index": index, "snapshot": True, "endpoints": endpoints}
 
-    agent, counter = Agent(told(2, a="up")), await PeerServer(as_counter).start()
+    agent, counter = Agent(told(2, a="up")), await PeerServer(answer_as_counter).start()
     await agent.start()
-    made = config(
+    made = config_document(
         discovery=f"{HOST}:{agent.port}",
         counter=f"{HOST}:{counter.port}",
         admin=f"{HOST}:0",
@@ -115,7 +115,7 @@
     )
     assert ran.stderr
     admin = int((await asyncio.to_thread(ran.stderr.readline)).rpartition(":")[2])
-    port = await asyncio.to_thread(listens, ran)
+    port = await asyncio.to_thread(listening_port, ran)
     tasks = [asyncio.create_task(agent.beat())]
     try:
         await served(port, "before", 10)
@@ -134,7 +134,7 @@
         held, most = len(counter.peers), len(os.listdir(f"/proc/{ran.pid}/fd"))
         await counter.until(lambda: len(counter.peers) > held)
         ready = f"GET /control/ready HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode()
-        assert (await ask(admin, ready)).startswith(b"HTTP/1.1 200 ")
+        assert (await fetch(admin, ready)).startswith(b"HTTP/1.1 200 ")
         agent.told, agent.silent = told(3, a="draining", b="up"), False
         if away == "refusing":
             loop = asyncio.get_running_loop()
@@ -143,7 +143,7 @@
         while not second.peers:  # the backend that was told at discovery's return is dialled
             took += await served(port, f"again{took}"[:12], 6.0 - took)
         assert took < 6.0
-        assert (await ask(admin, ready)).startswith(b"HTTP/1.1 200 ")
+        assert (await fetch(admin, ready)).startswith(b"HTTP/1.1 200 ")
         assert most < LIMIT
     finally:
         for task in tasks:
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -13,7 +13,7 @@
 
 from quota_ingress.net.event_log import EventLog
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
-from tests.process_helpers import ask, config, listens, start
+from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 RECORDED = Path(__file__).parent / "data" / "event_log.txt"
 
@@ -74,10 +74,10 @@
     server = await PeerServer(answers(OK)).start()
     backend = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
     known = {"index": 1, "snapshot": True, "endpoints": [backend]}
-    (tmp_path / "config.json").write_text(json.dumps(config(known=known)))
-    ran = start(tmp_path / "config.json", EDGE_TRACE="1")
-    port = listens(ran)
-    assert b" 200 " in await ask(port, request("r0"))
+    (tmp_path / "config.json").write_text(json.dumps(config_document(known=known)))
+    ran = start_ingress(tmp_path / "config.json", EDGE_TRACE="1")
+    port = listening_port(ran)
+    assert b" 200 " in await fetch(port, request("r0"))
     ran.send_signal(signal.SIGTERM)
     _, errors = ran.communicate(timeout=60)
     lines = (line.partition("quota_ingress.events: ")[2] for line in errors.splitlines())
@@ -91,9 +91,9 @@
 
 async def test_a_process_that_got_no_processor_says_so(tmp_path: Path) -> None:
     """And a break that this explains is none of its own: its log tells how late its loop was, and its CPU."""
-    (tmp_path / "config.json").write_text(json.dumps(config()))
-    ran = start(tmp_path / "config.json", EDGE_TRACE="1")
-    await asyncio.to_thread(listens, ran)
+    (tmp_path / "config.json").write_text(json.dumps(config_document()))
+    ran = start_ingress(tmp_path / "config.json", EDGE_TRACE="1")
+    await asyncio.to_thread(listening_port, ran)
     await asyncio.sleep(0.3)
     ran.send_signal(signal.SIGSTOP)
     await asyncio.sleep(0.6)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -21,14 +21,14 @@
     read_answer,
     request,
 )
-from tests.process_helpers import ask, config, listens, start
+from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 
 def test_up_without_discovery_or_counter_and_an_orderly_end(tmp_path: Path) -> None:
-    made = config()
+    made = config_document()
     (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json")
-    with urllib.request.urlopen(f"http://{HOST}:{listens(ran)}/up", timeout=60) as answer:
+    ran = start_ingress(tmp_path / "config.json")
+    with urllib.request.urlopen(f"http://{HOST}:{listening_port(ran)}/up", timeout=60) as answer:
         assert answer.status == 200
     ran.send_signal(signal.SIGTERM)
     _, errors = ran.communicate(timeout=60)
@@ -40,15 +40,15 @@
     connection is still served; all get one final answer and the process ends with 0."""
     server = await PeerServer().start()
     backend = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
-    made = config(known={"index": 1, "snapshot": True, "endpoints": [backend]})
+    made = config_document(known={"index": 1, "snapshot": True, "endpoints": [backend]})
     (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json")
-    port = await asyncio.to_thread(listens, ran)
-    asks = [asyncio.create_task(ask(port, request(f"r{n}", "order", "4000m"))) for n in range(2)]
+    ran = start_ingress(tmp_path / "config.json")
+    port = await asyncio.to_thread(listening_port, ran)
+    asks = [asyncio.create_task(fetch(port, request(f"r{n}", "order", "4000m"))) for n in range(2)]
     await server.until(lambda: sum(b"\r\n\r\n" in peer.data for peer in server.peers) == 2)
     ran.send_signal(signal.SIGTERM)
     first = server.peers[0].data.partition(b"Request-Id: ")[2][:2]
-    late = asyncio.create_task(ask(port, request("late", "order", "4000m")))
+    late = asyncio.create_task(fetch(port, request("late", "order", "4000m")))
     await server.until(lambda: len(server.peers) == 3 and b"\r\n\r\n" in server.peers[2].data)
     server.peers[0].transport.write(OK)
     server.peers[2].transport.write(OK)
@@ -132,9 +132,9 @@
         "snapshot": True,
         "endpoints": [{"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}],
     }
-    (tmp_path / "config.json").write_text(json.dumps(config(known=known)))
-    ran = start(tmp_path / "config.json")
-    port = await asyncio.to_thread(listens, ran)
+    (tmp_path / "config.json").write_text(json.dumps(config_document(known=known)))
+    ran = start_ingress(tmp_path / "config.json")
+    port = await asyncio.to_thread(listening_port, ran)
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(request("r0", "order", "4000m"))
     await server.until(lambda: asked(server) == [b"r0"])
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -12,7 +12,7 @@
 
 from quota_ingress.net.lifecycle.ingress import LIST_WAIT_SECONDS
 from tests.net_helpers import HOST, PeerServer
-from tests.process_helpers import config, listens, start
+from tests.process_helpers import config_document, listening_port, start_ingress
 
 READY = 10.0  # s in which nine in ten restarted processes have to be ready
 SHARE = 0.05  # of a core: what an ingress may have
@@ -31,7 +31,7 @@
     """Seconds of the processor, and by the clock."""
     began = time.monotonic()
     try:
-        listens(ran)
+        listening_port(ran)
         return processor_time(ran.pid), time.monotonic() - began
     finally:
         ran.kill()
@@ -62,12 +62,12 @@
             for n in range(BACKENDS)
         ],
     }
-    made = config(known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}")
+    made = config_document(known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(made))
-    to_ready(start(path))  # the first one compiles
+    to_ready(start_ingress(path))  # the first one compiles
     to_ready(bare())
-    found = [to_ready(start(path)) for _ in range(RUNS)]
+    found = [to_ready(start_ingress(path)) for _ in range(RUNS)]
     least = min(to_ready(bare())[0] for _ in range(RUNS))
     used, took = min(cpu for cpu, _ in found), min(wall for _, wall in found)
     waits = took - used
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -30,7 +30,7 @@
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.settings_codec import settings_from_json
 from tests.net_helpers import HOST, RAW, Peer, PeerServer, Script, overrides_of_own_directory
-from tests.process_helpers import ask, config, listens, start
+from tests.process_helpers import config_document, fetch, listening_port, start_ingress, stop_orderly
 from tests.support.discovery import (
     endpoint_fields,
     endpoint_list,
@@ -249,11 +249,11 @@
     """Read whole, the list in its configuration took it to 99 MB, and to 130 at each SIGHUP."""
     boxes = [endpoint_fields(n, since_ms=1_700_000_000_000 + n) for n in range(MANY)]
     known, path = {"index": 1, "snapshot": True, "endpoints": boxes}, tmp_path / "config.json"
-    path.write_text(json.dumps(config(known=known, settings=RAW | {"fleet_size": FLEET})))
-    ran = start(path)
-    listens(ran)
+    path.write_text(json.dumps(config_document(known=known, settings=RAW | {"fleet_size": FLEET})))
+    ran = start_ingress(path)
+    listening_port(ran)
     held = peak(ran.pid)
-    path.write_text(json.dumps(config(known={"endpoints": [{"status": "up", "address": 7}]})))
+    path.write_text(json.dumps(config_document(known={"endpoints": [{"status": "up", "address": 7}]})))
     ran.send_signal(signal.SIGHUP)
     time.sleep(0.2)
     ran.send_signal(signal.SIGTERM)
@@ -272,7 +272,7 @@
         ([endpoint_fields(1), endpoint_fields(2) | {"address": "nowhere"}], None),
     ):
         known = {"index": 1, "snapshot": True, "endpoints": entries}
-        path.write_text(json.dumps(config(known=known)), "utf-8-sig")
+        path.write_text(json.dumps(config_document(known=known)), "utf-8-sig")
         read = load_config(str(path), {}).known_endpoints
         assert (read and len(read.entries)) == found
     assert "known: not understood" in caplog.text
@@ -284,15 +284,15 @@
     whole = json.dumps({"index": 1, "snapshot": True, "endpoints": boxes}).encode()
     agent = await PeerServer(gives(whole)).start()
     fleet = RAW | {"fleet_size": FLEET}
-    made = config(discovery=f"{HOST}:{agent.port}", counter=None, known=[], settings=fleet)
+    made = config_document(discovery=f"{HOST}:{agent.port}", counter=None, known=[], settings=fleet)
     (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json", EDGE_ADMIN=f"{HOST}:0")
+    ran = start_ingress(tmp_path / "config.json", EDGE_ADMIN=f"{HOST}:0")
     assert ran.stderr
     admin = 0
     while not admin:
         line = await asyncio.to_thread(ran.stderr.readline)
         admin = int(line.rpartition(":")[2]) if "operators call" in line else 0
-    await asyncio.to_thread(listens, ran)
+    await asyncio.to_thread(listening_port, ran)
     async with asyncio.timeout(60):
         await agent.until(lambda: bool(agent.watched))
         last = json.dumps({"index": 3, "snapshot": False, "endpoints": [endpoint_fields(MANY)]}).encode()
@@ -300,11 +300,9 @@
             agent.peers[0].transport.write(b"%x\r\n%b\r\n" % (len(part), part))
         name = endpoint_fields(MANY)["name"]
         call = f"POST /control/backends/{name}/offline HTTP/1.1\r\nHost: a\r\n\r\n".encode()
-        while not (await ask(admin, call)).startswith(b"HTTP/1.1 200 "):
+        while not (await fetch(admin, call)).startswith(b"HTTP/1.1 200 "):
             await asyncio.sleep(0.05)
     most = peak(ran.pid)
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    await stop_orderly(ran)
     assert 30_000 < most < 64_000
     agent.stop()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,25 +8,31 @@
 from pathlib import Path
 
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
-from tests.process_helpers import as_counter, as_discovery, ask, config, listens, start
+from tests.process_helpers import (
+    answer_as_counter,
+    answer_as_discovery,
+    config_document,
+    fetch,
+    listening_port,
+    start_ingress,
+    stop_orderly,
+)
 
 
 async def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_after_it(tmp_path: Path) -> None:
     """Nobody sends a second signal: the old discovery would be the process's for good."""
-    agents = [await PeerServer(as_discovery(5)).start() for _ in range(2)]
-    files = [json.dumps(config(discovery=f"{HOST}:{agent.port}")) for agent in agents]
+    agents = [await PeerServer(answer_as_discovery(5)).start() for _ in range(2)]
+    files = [json.dumps(config_document(discovery=f"{HOST}:{agent.port}")) for agent in agents]
     path = tmp_path / "config.json"
     path.write_text(files[0])
-    ran = start(path)
-    await asyncio.to_thread(listens, ran)
+    ran = start_ingress(path)
+    await asyncio.to_thread(listening_port, ran)
     path.unlink()
     ran.send_signal(signal.SIGHUP)
     await asyncio.sleep(0.4)
     path.write_text(files[1])
     await agents[1].until(lambda: bool(agents[1].watched))
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    await stop_orderly(ran)
     for agent in agents:
         agent.stop()
 
@@ -35,18 +41,20 @@
     servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
     addresses = [f"{HOST}:{server.port}" for server in servers]
     listed = [{"name": a, "address": a, "status": "up"} for a in addresses]
-    agents = [await PeerServer(as_discovery(5 - 3 * n, entry)).start() for n, entry in enumerate(listed)]
-    counters = [await PeerServer(as_counter).start() for _ in range(2)]
+    agents = [
+        await PeerServer(answer_as_discovery(5 - 3 * n, entry)).start() for n, entry in enumerate(listed)
+    ]
+    counters = [await PeerServer(answer_as_counter).start() for _ in range(2)]
     files = [
-        json.dumps(config(discovery=f"{HOST}:{a.port}", counter=f"{HOST}:{c.port}"))
+        json.dumps(config_document(discovery=f"{HOST}:{a.port}", counter=f"{HOST}:{c.port}"))
         for a, c in zip(agents, counters, strict=True)
     ]
     path = tmp_path / "config.json"
     path.write_text(files[0])
-    ran = start(path, EDGE_DISCOVERY=f"{HOST}:{agents[0].port}")
-    port = await asyncio.to_thread(listens, ran)
+    ran = start_ingress(path, EDGE_DISCOVERY=f"{HOST}:{agents[0].port}")
+    port = await asyncio.to_thread(listening_port, ran)
     await agents[0].until(lambda: bool(agents[0].watched))
-    while not (await ask(port, request("a1"))).startswith(b"HTTP/1.1 200 "):
+    while not (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 "):
         pass  # the counter's and the discovery's first answers are on their way
     assert servers[0].peers and not servers[1].peers
     path.write_text(files[1])
@@ -55,13 +63,13 @@
     await agents[1].until(lambda: agents[1].watched == [b"GET /discovery/hosts?watch=1&from=2"])
     await agents[0].until(lambda: len(agents[0].closed) == len(agents[0].peers))
     await counters[0].until(lambda: len(counters[0].closed) == len(counters[0].peers))
-    assert (await ask(port, request("b1", Cookie=f"customer={8:016x}"))).startswith(b"HTTP/1.1 200 ")
+    assert (await fetch(port, request("b1", Cookie=f"customer={8:016x}"))).startswith(b"HTTP/1.1 200 ")
     assert servers[1].peers and counters[1].added and agents[0].watched
     path.write_text("{")
     ran.send_signal(signal.SIGHUP)
     assert ran.stderr
     assert "not reloaded" in await asyncio.to_thread(ran.stderr.readline)
-    assert (await ask(port, request("c1", Cookie=f"customer={9:016x}"))).startswith(b"HTTP/1.1 200 ")
+    assert (await fetch(port, request("c1", Cookie=f"customer={9:016x}"))).startswith(b"HTTP/1.1 200 ")
     ran.send_signal(signal.SIGTERM)
     ran.send_signal(signal.SIGHUP)
     _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -20,7 +20,7 @@
 from quota_ingress.policy.endpoint_list import EndpointsListed
 from quota_ingress.policy.slow_start import SLOW_START_BUDGET_FRACTION
 from tests.net_helpers import HOST, OK, RAW, SETTINGS, Peer, PeerServer, Script, request
-from tests.process_helpers import ask, config, listens, start
+from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 SECOND = 1_000_000
 NOW = 1_800_000_000 * SECOND  # the fleet's clock
@@ -189,14 +189,14 @@
         for n, server in enumerate(servers)
     ]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(known={"index": 1, "snapshot": True, "endpoints": listed})))
+    path.write_text(json.dumps(config_document(known={"index": 1, "snapshot": True, "endpoints": listed})))
     faults = Faults(build(tmp_path), tmp_path / "faults")
     faults.shift_wall_clock(off)
-    ran = start(path, **faults.environment())
-    port = await asyncio.to_thread(listens, ran)
+    ran = start_ingress(path, **faults.environment())
+    port = await asyncio.to_thread(listening_port, ran)
     for wave in range(40):
         customers = range(wave * 8, wave * 8 + 8)
-        asked = (ask(port, request(f"r{n}", Cookie=f"customer={n:016x}")) for n in customers)
+        asked = (fetch(port, request(f"r{n}", Cookie=f"customer={n:016x}")) for n in customers)
         assert {answer.split(b" ")[1] for answer in await asyncio.gather(*asked)} <= {b"200", b"429"}
     ran.kill()
     await asyncio.to_thread(ran.communicate)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,7 +15,7 @@
 
 from ingress_testbed.faults import SHORT, Call, Faults, build
 from tests.net_helpers import HOST, OK, PeerServer, answers, request
-from tests.process_helpers import ask, config, listens, start
+from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 ASKED = 60
 NAMES = 8  # of the backend: with fewer, a few requests at once would be refused as too many
@@ -51,11 +51,11 @@
         ]
         known = {"index": 1, "snapshot": True, "endpoints": listed}
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(config(known=known)))
-        self.ran: subprocess.Popen[str] = start(path, **faults.environment())
+        path.write_text(json.dumps(config_document(known=known)))
+        self.ran: subprocess.Popen[str] = start_ingress(path, **faults.environment())
 
     async def __aenter__(self) -> Process:
-        self.port = await asyncio.to_thread(listens, self.ran)
+        self.port = await asyncio.to_thread(listening_port, self.ran)
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -73,7 +73,7 @@
 
     async def _status(self, number: int) -> bytes:
         try:
-            answer = await ask(self.port, request(f"r{number}", Cookie=f"customer={number:016x}"))
+            answer = await fetch(self.port, request(f"r{number}", Cookie=f"customer={number:016x}"))
         except (OSError, EOFError) as error:
             return repr(error).encode()
         return answer.split(b" ")[1]
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -6,7 +6,6 @@
 import errno
 import json
 import os
-import signal
 import socket
 import subprocess
 import time
@@ -32,7 +31,7 @@
     read_answer,
     request,
 )
-from tests.process_helpers import ask, config, listens, start
+from tests.process_helpers import config_document, fetch, listening_port, start_ingress, stop_orderly
 from tests.support.upgrade import RecordingParticipant
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -47,13 +46,13 @@
     faults = Faults(build(tmp_path), tmp_path / "faults")
     path, folder = tmp_path / "config.json", tmp_path / "shared"
     folder.mkdir()
-    path.write_text(json.dumps(config()))
+    path.write_text(json.dumps(config_document()))
     with socket.create_server((HOST, 0)) as held:
         held.set_inheritable(True)
         inherits = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(folder)}
         faults.set(call, error, 1 if call is Call.RENAME else 2)
-        ran = start(path, (held.fileno(),), **(inherits | faults.environment()))
-        port = await asyncio.to_thread(listens, ran)
+        ran = start_ingress(path, (held.fileno(),), **(inherits | faults.environment()))
+        port = await asyncio.to_thread(listening_port, ran)
         faults.clear()
         coming = UpgradeCoordinator(RecordingParticipant(), str(folder))
         async with asyncio.timeout(10):
@@ -61,9 +60,7 @@
                 await asyncio.sleep(0.05)
         coming.stop()
         assert port == held.getsockname()[1]
-        ran.send_signal(signal.SIGTERM)
-        _, errors = await asyncio.to_thread(ran.communicate, timeout=30)
-        assert ran.returncode == 0 and "Traceback" not in errors
+        await stop_orderly(ran, timeout_seconds=30)
     faults.close()
 
 
@@ -84,18 +81,18 @@
     path = tmp_path / "config.json"
     listed = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
     known = {"index": 1, "snapshot": True, "endpoints": [listed]}
-    path.write_text(json.dumps(config(known=known, counter=f"{HOST}:{counter.port}")))
+    path.write_text(json.dumps(config_document(known=known, counter=f"{HOST}:{counter.port}")))
     with socket.create_server((HOST, 0)) as held:
         held.set_inheritable(True)
         more = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)} | faults.environment()
-        old = start(path, (held.fileno(),), **more)
-        port = await asyncio.to_thread(listens, old)
+        old = start_ingress(path, (held.fileno(),), **more)
+        port = await asyncio.to_thread(listening_port, old)
         faults.shift_wall_clock(step)
-        new = start(path, (held.fileno(),), **more)
-        await asyncio.to_thread(listens, new)
+        new = start_ingress(path, (held.fileno(),), **more)
+        await asyncio.to_thread(listening_port, new)
         for number in range(12):
             customer = f"customer={number:016x}"
-            assert b" 200 " in await ask(
+            assert b" 200 " in await fetch(
                 port, request(f"r{number}", X_Quota="units=1,spread=2,first=0", Cookie=customer)
             )
         for ran in (new, old):
@@ -127,21 +124,21 @@
         for n, server in enumerate(servers)
     ]
     path, known = tmp_path / "config.json", {"index": 4, "snapshot": True, "endpoints": entries}
-    path.write_text(json.dumps(config(known=known, discovery=f"{HOST}:{agent.port}")))
+    path.write_text(json.dumps(config_document(known=known, discovery=f"{HOST}:{agent.port}")))
     with socket.create_server((HOST, 0)) as held:
         held.set_inheritable(True)
         more = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
-        old = start(path, (held.fileno(),), **more)
-        port = await asyncio.to_thread(listens, old)
+        old = start_ingress(path, (held.fileno(),), **more)
+        port = await asyncio.to_thread(listening_port, old)
         _, kept = await asyncio.open_connection(HOST, port)  # the old process stays until it is closed
-        new = start(path, (held.fileno(),), **more)
-        await asyncio.to_thread(listens, new)
+        new = start_ingress(path, (held.fileno(),), **more)
+        await asyncio.to_thread(listening_port, new)
         drains = {"index": 5, "snapshot": False, "endpoints": [entries[0] | {"status": "draining"}]}
         line = json.dumps(drains).encode() + b"\n"
         watches[0].transport.write(b"%x\r\n%b\r\n" % (len(line), line))
         await asyncio.sleep(0.3)  # past the grace
         for number in range(20):
-            assert b" 200 " in await ask(port, request(f"r{number}", Cookie=f"customer={number:016x}"))
+            assert b" 200 " in await fetch(port, request(f"r{number}", Cookie=f"customer={number:016x}"))
         kept.close()
         for ran in (new, old):
             ran.kill()
@@ -168,10 +165,10 @@
 
     server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
     path, admin = tmp_path / "config.json", free_port()
-    path.write_text(json.dumps(config(admin=f"{HOST}:{admin}")))
+    path.write_text(json.dumps(config_document(admin=f"{HOST}:{admin}")))
     with socket.create_server((HOST, 0)) as held:
         held.set_inheritable(True)
-        ran = start(path, (held.fileno(),), EDGE_LISTEN_FD=str(held.fileno()), TMPDIR=str(tmp_path))
+        ran = start_ingress(path, (held.fileno(),), EDGE_LISTEN_FD=str(held.fileno()), TMPDIR=str(tmp_path))
         called = time.monotonic()
         while True:  # as soon as it takes calls
             try:
@@ -200,18 +197,18 @@
 ) -> None:
     """With nothing left to answer it ended at once; a successor that died then left nobody to serve."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config()))
+    path.write_text(json.dumps(config_document()))
     with socket.create_server((HOST, 0)) as held:
         held.set_inheritable(True)
         more = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
-        old = start(path, (held.fileno(),), **more)
-        port = await asyncio.to_thread(listens, old)
-        new = start(path, (held.fileno(),), **more)
-        await asyncio.to_thread(listens, new)
+        old = start_ingress(path, (held.fileno(),), **more)
+        port = await asyncio.to_thread(listening_port, old)
+        new = start_ingress(path, (held.fileno(),), **more)
+        await asyncio.to_thread(listening_port, new)
         await asyncio.sleep(0.2)
         new.kill()
         await asyncio.to_thread(new.communicate)
-        assert (await ask(port, UP)).startswith(b"HTTP/1.1 200 ")  # by the old one
+        assert (await fetch(port, UP)).startswith(b"HTTP/1.1 200 ")  # by the old one
         old.kill()
         await asyncio.to_thread(old.communicate)
 
@@ -226,30 +223,32 @@
     listening = socket.create_server((HOST, 0))
     port = listening.getsockname()[1]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(known={"index": 1, "snapshot": True, "endpoints": boxes})))
+    path.write_text(json.dumps(config_document(known={"index": 1, "snapshot": True, "endpoints": boxes})))
     admins: list[int] = []
 
     def run() -> subprocess.Popen[str]:
         with socket.create_server((HOST, 0)) as free:
             admins.append(free.getsockname()[1])
         more = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
-        return start(path, fds=(listening.fileno(),), EDGE_ADMIN=f"{HOST}:{admins[-1]}", **more)
+        return start_ingress(path, inherited=(listening.fileno(),), EDGE_ADMIN=f"{HOST}:{admins[-1]}", **more)
 
     def calling(line: str) -> bytes:
         return f"{line} HTTP/1.1\r\nHost: a\r\n\r\n".encode()
 
     first = run()
-    await asyncio.to_thread(listens, first)
-    assert (await ask(admins[0], calling("POST /control/backends/s-2/offline"))).startswith(b"HTTP/1.1 200 ")
+    await asyncio.to_thread(listening_port, first)
+    assert (await fetch(admins[0], calling("POST /control/backends/s-2/offline"))).startswith(
+        b"HTTP/1.1 200 "
+    )
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(request("old", "order"))
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     second = run()
-    await asyncio.to_thread(listens, second)
-    assert (await ask(admins[1], calling("GET /control/ready"))).startswith(b"HTTP/1.1 200 ")
+    await asyncio.to_thread(listening_port, second)
+    assert (await fetch(admins[1], calling("GET /control/ready"))).startswith(b"HTTP/1.1 200 ")
     server.heard = answers(OK)
     for number in range(4):  # the second box would refuse them, were it not out; the old process accepts none
-        answer = await ask(port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
+        answer = await fetch(port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
     server.heard(server.peers[0])
     answer = await read_answer(reader)
@@ -257,11 +256,9 @@
     writer.close()
     _, errors = await asyncio.to_thread(first.communicate, timeout=60)  # it has nothing left
     assert first.returncode == 0 and "Traceback" not in errors
-    assert (await ask(admins[1], calling("POST /control/backends/s-2/online"))).startswith(b"HTTP/1.1 200 ")
-    assert (await ask(port, UP)).startswith(b"HTTP/1.1 200 ")
-    second.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(second.communicate, timeout=60)
-    assert second.returncode == 0 and "Traceback" not in errors
+    assert (await fetch(admins[1], calling("POST /control/backends/s-2/online"))).startswith(b"HTTP/1.1 200 ")
+    assert (await fetch(port, UP)).startswith(b"HTTP/1.1 200 ")
+    await stop_orderly(second)
     os.fstat(listening.fileno())
     with socket.create_connection((HOST, port)):  # still listens: it is the platform's
         pass
@@ -273,7 +270,7 @@
     """The same in one process, to look inside."""
     listening = socket.create_server((HOST, 0))
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(counter=None)))
+    path.write_text(json.dumps(config_document(counter=None)))
     env = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
     old, new = Ingress(load_config(str(path), env)), Ingress(load_config(str(path), env))
     top = old.listener.hard_limit
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,7 +20,7 @@
 from quota_ingress.net.lifecycle.ingress import Ingress
 from quota_ingress.policy.endpoint_list import EndpointState
 from tests.net_helpers import HOST, Peer, PeerServer
-from tests.process_helpers import config
+from tests.process_helpers import config_document
 from tests.support.discovery import (
     WATCH_HEAD,
     DiscoveryAgent,
@@ -138,7 +138,7 @@
 def made_ingress(tmp_path: Path, agent: PeerServer) -> Ingress:
     known = list_document(41, True, leaving="up", staying="up")
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(known=known, discovery=f"{HOST}:{agent.port}")))
+    path.write_text(json.dumps(config_document(known=known, discovery=f"{HOST}:{agent.port}")))
     return Ingress(load_config(str(path), {}))
 
 
@@ -206,7 +206,7 @@
 
     monkeypatch.setattr(ingress.overrides, "apply_list", listed_then_read)
     path = tmp_path / "other.json"
-    path.write_text(json.dumps(config(discovery=f"{HOST}:{new.port}")))
+    path.write_text(json.dumps(config_document(discovery=f"{HOST}:{new.port}")))
     ingress.reload(str(path))
     async with asyncio.timeout(10):
         await done.wait()
