--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -17,8 +17,9 @@
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MemoryBudget
+from quota_ingress.net.lifecycle.control_plane import ControlPlaneClients
 from quota_ingress.net.lifecycle.graceful_shutdown import check_nothing_left, finish_requests
-from quota_ingress.net.lifecycle.reload import ConfigReloader, ControlPlaneClients
+from quota_ingress.net.lifecycle.reload import ConfigReloader
 from quota_ingress.net.lifecycle.upgrade import UpgradeCoordinator
 from quota_ingress.net.lifecycle.upgrade_messages import DrainCall, EndpointCall, OperatorNote
 from quota_ingress.net.lifecycle.upgrade_process import SharedParts, UpgradeProcess
--- a/quota_ingress/net/lifecycle/reload.py
+++ b/quota_ingress/net/lifecycle/reload.py
@@ -1,27 +1,16 @@
-"""The control-plane clients in force, and their change at a reload of the configuration (SIGHUP)."""
+"""The reload of the configuration file (SIGHUP)."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 from collections.abc import Callable
 
 from quota_ingress.config import Config, ConfigError, ConfigUnreadableError, reload_config
-from quota_ingress.net.counter.client import CounterClient
-from quota_ingress.net.discovery.endpoint_list import EndpointList
-from quota_ingress.net.discovery.operator_overrides import OperatorOverrides
-from quota_ingress.net.discovery.watch import DiscoveryWatch
-from quota_ingress.net.discovery.watch_retry import NOTIFICATION_DEADLINE
-from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.event_log import EventLog
-from quota_ingress.net.lifecycle.upgrade_messages import EndpointListChange
 
 REREAD_INTERVAL_SECONDS = 0.1  # between attempts at a file that cannot be read
 REREAD_WINDOW_SECONDS = 3.0  # in which they are made
-RELOAD_DEADLINE_SECONDS = 4.0  # after SIGHUP the list of the new discovery has to be in force
-COUNTER_SWITCH_SECONDS = 1.0  # after SIGHUP; the old counter closes its connections after 1.5 s
-MAX_FORWARDED_ENTRIES = 10_000  # of a list, to the other process of an upgrade: some 2 MB
 
 log = logging.getLogger("quota_ingress")
 
@@ -62,137 +51,3 @@
         else:
             self._event_log.event("reload", "read", discovery=config.discovery, counter=config.counter)
             self._apply(config)
-
-
-class ControlPlaneClients:
-    """The clients of discovery and of the quota counter."""
-
-    def __init__(self, engine: Engine, overrides: OperatorOverrides, config: Config) -> None:
-        """Connects to nothing until `start`."""
-        self.on_list_change: Callable[[EndpointListChange], None] | None = (
-            None  # for an upgrade's other process
-        )
-        self._engine = engine
-        self._overrides = overrides
-        self._config = config
-        self._discovery: DiscoveryWatch | None = None  # None: not started
-        self._next_discovery: DiscoveryWatch | None = (
-            None  # takes the other's place once it has sent its list
-        )
-        self._counter: CounterClient | None = None
-        self._counter_switch: asyncio.Task[None] | None = None
-        self._retiring: set[asyncio.Task[None]] = set()  # of counters that are no longer in force
-        self._list_version: int | None = None  # the last version that discovery sent
-        self._early_changes: list[EndpointListChange] = []  # from the other process, before `start`
-
-    def start(self, list_version: int | None) -> None:
-        """Connects to both; `list_version`: the version of the endpoint list that is held, if one is."""
-        self._list_version = list_version
-        self._discovery = self._new_discovery(self._config, list_version, NOTIFICATION_DEADLINE)
-        self._counter = self._start_counter(self._config)
-        self._engine.counter = self._counter
-        self._discovery.start()
-        early_changes = self._early_changes
-        self._early_changes = []
-        for change in early_changes:
-            self.apply_list_change(change)
-
-    async def wait_for_list(self, timeout_seconds: float) -> None:
-        """Returns once discovery has sent a list or a change, or after the timeout."""
-        if self._discovery:
-            await _wait_for(self._discovery.first_list_received, timeout_seconds)
-
-    async def wait_for_counter(self, timeout_seconds: float) -> None:
-        """Returns once the counter is connected, or after the timeout."""
-        if self._counter:
-            await _wait_for(self._counter.connected, timeout_seconds)
-
-    def apply(self, config: Config) -> None:
-        """Changes to the clients of a reloaded configuration; the old ones serve until these can."""
-        newest = self._next_discovery or self._discovery
-        if newest is None or config.discovery != newest.address:
-            if self._next_discovery:
-                self._next_discovery.stop()
-            self._next_discovery = self._new_discovery(config, None, RELOAD_DEADLINE_SECONDS)
-            self._next_discovery.start()
-        if config.counter != self._config.counter:
-            if self._counter_switch:
-                self._counter_switch.cancel()
-            self._counter_switch = asyncio.get_running_loop().create_task(self._switch_counter(config))
-        self._config = config
-
-    def apply_list_change(self, change: EndpointListChange) -> None:
-        """Takes what discovery has sent to the other process of an upgrade, if it is the same discovery."""
-        if self._discovery is None:
-            self._early_changes.append(change)
-        elif change.discovery == self._discovery.address:
-            self._discovery.receive_from_peer(change.endpoints, change.after)
-
-    def stop(self) -> None:
-        """Ends all connections at once."""
-        for task in (self._counter_switch, *self._retiring):
-            if task:
-                task.cancel()
-        for client in (self._discovery, self._next_discovery, self._counter):
-            if client:
-                client.stop()
-
-    def _new_discovery(
-        self, config: Config, list_version: int | None, deadline_seconds: float
-    ) -> DiscoveryWatch:
-        discovery = DiscoveryWatch(
-            config.discovery,
-            list_version,
-            lambda endpoints: self._on_list(discovery, endpoints),
-            config.settings.fleet_size,
-            deadline_seconds,
-            self._engine.directory,
-            self._engine.event_log,
-        )
-        return discovery
-
-    def _start_counter(self, config: Config) -> CounterClient | None:
-        if config.counter is None:
-            return None
-        counter = CounterClient(config.counter, config.settings.counter.timeout, config.settings.fleet_size)
-        counter.start()
-        return counter
-
-    def _on_list(self, discovery: DiscoveryWatch, endpoints: EndpointList) -> None:
-        if discovery is self._next_discovery:
-            if self._discovery:
-                self._discovery.stop()
-            self._discovery = discovery
-            self._next_discovery = None
-        if discovery is not self._discovery:
-            return  # it has been replaced, and read one more line before it was closed
-        previous_version = self._list_version
-        self._list_version = endpoints.version
-        if self.on_list_change and len(endpoints.packed) <= MAX_FORWARDED_ENTRIES:
-            # Before the overrides are laid over it: the other process has its own.
-            self.on_list_change(EndpointListChange(discovery.address, previous_version, endpoints))
-        self._overrides.apply_list(endpoints)
-
-    async def _switch_counter(self, config: Config) -> None:
-        """Calls go to the old counter until the new one is connected, or the old one is about to close."""
-        new = self._start_counter(config)
-        old = self._counter
-        try:
-            if new:
-                await _wait_for(new.connected, COUNTER_SWITCH_SECONDS)
-        except asyncio.CancelledError:  # yet another configuration, or the end
-            if new:
-                new.stop()
-            raise
-        self._counter = new
-        self._engine.counter = new
-        if old:
-            task = asyncio.get_running_loop().create_task(old.drain())
-            self._retiring.add(task)
-            task.add_done_callback(self._retiring.discard)
-
-
-async def _wait_for(event: asyncio.Event, timeout_seconds: float) -> None:
-    with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(timeout_seconds):
-            await event.wait()
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -14,7 +14,7 @@
 from quota_ingress.net.discovery.packed_entry import PackedEntry
 from quota_ingress.net.downstream.listener import Listener
 from quota_ingress.net.engine.engine import Engine
-from quota_ingress.net.lifecycle.reload import ControlPlaneClients
+from quota_ingress.net.lifecycle.control_plane import ControlPlaneClients
 from quota_ingress.net.lifecycle.upgrade_messages import (
     Document,
     DrainCall,
