--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -17,31 +17,34 @@
 )
 
 
-class Asked:
-    """Controls that only note what they are asked for."""
+class RecordingControls:
+    """Controls that only record what they are asked for; one endpoint is listed."""
 
     def __init__(self) -> None:
-        self.is_ready, self.drained = False, list[bool]()
-        self.named: list[tuple[str, str]] = []
+        self.is_ready = False
+        self.drain_calls: list[bool] = []
+        self.endpoint_calls: list[tuple[str, str]] = []
 
     def ready(self) -> bool:
         return self.is_ready
 
     def take_offline(self, name: str) -> bool:
-        self.named.append(("offline", name))
+        self.endpoint_calls.append(("offline", name))
         return name == "s 1"
 
     def put_online(self, name: str) -> bool:
-        self.named.append(("online", name))
+        self.endpoint_calls.append(("online", name))
         return name == "s 1"
 
     def drain(self, is_draining: bool) -> None:
-        self.drained.append(is_draining)
+        self.drain_calls.append(is_draining)
 
 
 class Operators:
+    """An admin server, and operators that call it."""
+
     def __init__(self) -> None:
-        self.controls = Asked()
+        self.controls = RecordingControls()
         self.admin = AdminServer(self.controls, 3)
         self.admin.on_list_known()
         self.port = 0
@@ -63,25 +66,25 @@
     operators.admin.stop()
 
 
-async def test_each_call_does_what_it_says_and_nothing_else_is_one(operators: Operators) -> None:
-    asked = operators.controls
+async def test_each_route_does_what_it_says_and_nothing_else_is_one(operators: Operators) -> None:
+    controls = operators.controls
     assert await operators.call("GET /control/ready") == 503
-    asked.is_ready = True
+    controls.is_ready = True
     assert await operators.call("GET /control/ready") == 200
     assert await operators.call("POST /control/backends/s%201/offline") == 200
     assert await operators.call("POST /control/backends/s%201/online") == 200
     assert await operators.call("POST /control/backends/s-9/offline") == 404
-    assert asked.named == [("offline", "s 1"), ("online", "s 1"), ("offline", "s-9")]
+    assert controls.endpoint_calls == [("offline", "s 1"), ("online", "s 1"), ("offline", "s-9")]
     assert await operators.call("POST /control/out-of-service") == 200
     assert await operators.call("POST /control/in-service") == 200
-    assert asked.drained == [True, False]
+    assert controls.drain_calls == [True, False]
     for line in ("POST /control/ready", "GET /control/out-of-service", "GET /control/backends/s%201/online"):
         assert await operators.call(line) == 405
     unknown = ["GET /up", "GET /control", "GET /control/ready/", "DELETE /", "POST /x/control/in-service"]
     unknown += ["POST /control/backends//offline", "POST /control/backends/x/gone"]
     for line in unknown:
         assert await operators.call(line) == 404
-    assert len(asked.named) == 3 and asked.drained == [True, False]
+    assert len(controls.endpoint_calls) == 3 and controls.drain_calls == [True, False]
 
 
 @given(st.text(st.sampled_from("%aFé\ufffd/0c9Ee2 +-")))
@@ -92,7 +95,7 @@
     assert decode_percent(text) == unquote(text)
 
 
-async def test_callers_that_hold_on_shut_nobody_out(operators: Operators) -> None:
+async def test_silent_connections_shut_nobody_out(operators: Operators) -> None:
     held = [await asyncio.open_connection(HOST, operators.port) for _ in range(20)]
     for _, writer in held:
         writer.write(b"GET /control/re")
@@ -103,7 +106,7 @@
         writer.close()
 
 
-async def test_what_is_no_call_gets_an_error(operators: Operators) -> None:
+async def test_bytes_that_are_no_http_get_an_error(operators: Operators) -> None:
     reader, writer = await asyncio.open_connection(HOST, operators.port)
     writer.write(b"nonsense\r\n\r\n")
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,6 +18,7 @@
     Ingress,
     PeerServer,
     answers,
+    asked,
     read_answer,
     request,
 )
@@ -63,11 +64,6 @@
     server.stop()
 
 
-def asked(backend: PeerServer) -> list[bytes]:
-    """The ids that have reached the backend, in the order of connections."""
-    return [part[:2] for peer in backend.peers for part in peer.data.split(b"Request-Id: ")[1:]]
-
-
 async def test_those_in_the_listeners_line_at_a_stop_are_taken_in_and_answered(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-from typing import Any
 
 import pytest
 
@@ -27,97 +26,113 @@
 )
 
 
-class Told:
-    """Maintenance between a pretended discovery and the engine."""
+class Fixture:
+    """Overrides between a pretended discovery and a record of what they publish."""
 
     def __init__(self) -> None:
-        self.time, self.heard = 5_000_000, list[EndpointList]()
-        self.maintenance = overrides_of_own_directory(lambda: self.time, self.heard.append)
+        self.time_us = 5_000_000
+        self.published: list[EndpointList] = []
+        self.overrides = overrides_of_own_directory(lambda: self.time_us, self.published.append)
 
-    def list(self, *entries: dict[str, object], whole: bool = True) -> None:
-        named = [{"address": f"{HOST}:1", "status": "up"} | e for e in entries]
-        self.maintenance.apply_list(decode_endpoint_list({"index": 4, "snapshot": whole, "endpoints": named}))
+    def discover(self, *entries: dict[str, object], is_snapshot: bool = True) -> None:
+        """Applies a list or a change; endpoints are up unless an entry says otherwise."""
+        endpoints = [{"address": f"{HOST}:1", "status": "up"} | entry for entry in entries]
+        document = {"index": 4, "snapshot": is_snapshot, "endpoints": endpoints}
+        self.overrides.apply_list(decode_endpoint_list(document))
 
     @property
     def last(self) -> dict[str, tuple[str, int]]:
-        return {e.name: (STATUS_BY_STATE[e.state], e.started_us) for e in self.heard[-1].entries}
-
-
-def test_a_backend_taken_out_is_told_as_draining_whatever_discovery_says() -> None:
-    told = Told()
-    told.list({"name": "a"}, {"name": "b"})
-    assert told.maintenance.take_offline("a") and told.maintenance.take_offline("a")
-    assert len(told.heard) == 2 and not told.heard[-1].is_snapshot and told.last == {"a": ("draining", 0)}
-    told.list({"name": "a"}, {"name": "b"})
-    assert told.last == {"a": ("draining", 0), "b": ("up", 0)}
-    told.list({"name": "a", "since_ms": 4000}, whole=False)  # it was restarted meanwhile
-    assert told.last == {"a": ("draining", 4_000_000)}
-    told.list({"name": "a", "status": "removed"}, whole=False)
-    assert told.last["a"][0] == "removed"
-    told.list({"name": "a"}, whole=False)
-    assert told.last["a"][0] == "draining"
-
-
-def test_a_backend_put_back_is_cold_whatever_the_list_says() -> None:
-    told = Told()
-    told.list({"name": "a"})
-    told.maintenance.take_offline("a")
-    told.maintenance.take_offline("a")
-    told.time = 9_000_000
-    assert told.maintenance.put_online("a")  # one call back ends it
-    assert told.last == {"a": ("up", 9_000_000)}
-    told.list({"name": "a"})
-    assert told.last == {"a": ("up", 9_000_000)}
-    told.list({"name": "a", "since_ms": 12_000}, whole=False)
-    assert told.last == {"a": ("up", 12_000_000)}
-    count = len(told.heard)
-    told.time = 20_000_000
-    assert told.maintenance.put_online("a") and len(told.heard) == count  # it was not out: nothing changes
-
-
-def test_a_backend_never_listed_is_owed_a_no_and_one_removed_is_not() -> None:
-    told = Told()
-    told.list({"name": "a"}, {"name": "b"})
-    assert not told.maintenance.take_offline("c") and not told.maintenance.put_online("c")
-    told.list({"name": "b", "status": "removed"}, whole=False)
-    assert told.maintenance.take_offline("b") and len(told.heard) == 2
-
-
-async def test_a_backend_taken_out_gets_nothing_and_put_back_gets_requests_again() -> None:
-    """Through the real module: an ordinary drain, then an ordinary cold start."""
-    gateway, time = Gateway(SETTINGS, 1), [1_000_000_000]
-    boxes: dict[str, int] = {"a": 1, "b": 2}
-
-    def tell(listing: EndpointList) -> None:
-        told = [ListedEndpoint(boxes[e.name], e.state, 0, 0, 0, 1.0, e.started_us) for e in listing.entries]
-        way = ListKind.FULL if listing.is_snapshot else ListKind.DELTA
-        gateway.handle(time[0], EndpointsListed(way, listing.version, tuple(told)))
-
-    maintenance = overrides_of_own_directory(lambda: time[0], tell)
-    up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in boxes]
-    maintenance.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": up}))
+        """Status and start of each endpoint in what was published last."""
+        entries = self.published[-1].entries
+        return {entry.name: (STATUS_BY_STATE[entry.state], entry.started_us) for entry in entries}
+
+
+def test_an_endpoint_taken_offline_is_published_as_draining_whatever_discovery_says() -> None:
+    fixture = Fixture()
+    fixture.discover({"name": "a"}, {"name": "b"})
+    assert fixture.overrides.take_offline("a") and fixture.overrides.take_offline("a")
+    assert (
+        len(fixture.published) == 2
+        and not fixture.published[-1].is_snapshot
+        and fixture.last == {"a": ("draining", 0)}
+    )
+    fixture.discover({"name": "a"}, {"name": "b"})
+    assert fixture.last == {"a": ("draining", 0), "b": ("up", 0)}
+    fixture.discover({"name": "a", "since_ms": 4000}, is_snapshot=False)  # it was restarted meanwhile
+    assert fixture.last == {"a": ("draining", 4_000_000)}
+    fixture.discover({"name": "a", "status": "removed"}, is_snapshot=False)
+    assert fixture.last["a"][0] == "removed"
+    fixture.discover({"name": "a"}, is_snapshot=False)
+    assert fixture.last["a"][0] == "draining"
+
+
+def test_an_endpoint_put_online_is_cold_whatever_the_list_says() -> None:
+    fixture = Fixture()
+    fixture.discover({"name": "a"})
+    fixture.overrides.take_offline("a")
+    fixture.overrides.take_offline("a")
+    fixture.time_us = 9_000_000
+    assert fixture.overrides.put_online("a")  # one call back ends it
+    assert fixture.last == {"a": ("up", 9_000_000)}
+    fixture.discover({"name": "a"})
+    assert fixture.last == {"a": ("up", 9_000_000)}
+    fixture.discover({"name": "a", "since_ms": 12_000}, is_snapshot=False)
+    assert fixture.last == {"a": ("up", 12_000_000)}
+    count = len(fixture.published)
+    fixture.time_us = 20_000_000
+    assert (
+        fixture.overrides.put_online("a") and len(fixture.published) == count
+    )  # it was not out: nothing changes
+
+
+def test_an_endpoint_never_listed_is_not_known_and_one_removed_is() -> None:
+    fixture = Fixture()
+    fixture.discover({"name": "a"}, {"name": "b"})
+    assert not fixture.overrides.take_offline("c") and not fixture.overrides.put_online("c")
+    fixture.discover({"name": "b", "status": "removed"}, is_snapshot=False)
+    assert fixture.overrides.take_offline("b") and len(fixture.published) == 2
+
+
+async def test_an_endpoint_taken_offline_gets_nothing_and_put_online_gets_requests_again() -> None:
+    """Through the real policy: an ordinary drain, then an ordinary cold start."""
+    gateway = Gateway(SETTINGS, 1)
+    now_us = 1_000_000_000
+    numbers = {"a": 1, "b": 2}
+
+    def list_endpoints(endpoints: EndpointList) -> None:
+        listed = tuple(
+            ListedEndpoint(numbers[entry.name], entry.state, 0, 0, 0, 1.0, entry.started_us)
+            for entry in endpoints.entries
+        )
+        kind = ListKind.FULL if endpoints.is_snapshot else ListKind.DELTA
+        gateway.handle(now_us, EndpointsListed(kind, endpoints.version, listed))
+
+    overrides = overrides_of_own_directory(lambda: now_us, list_endpoints)
+    up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in numbers]
+    overrides.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": up}))
     number = 0
 
-    def sends() -> set[int]:
-        nonlocal number
-        went: set[int] = set()
+    def endpoints_used() -> set[int]:
+        nonlocal number, now_us
+        used: set[int] = set()
         for _ in range(60):
-            number, time[0] = number + 1, time[0] + 40_000
+            number += 1
+            now_us += 40_000
             arrived = RequestArrived(number, 0, 0, number, 1.0, 3_000_000)
-            actions = gateway.handle(time[0], arrived)
+            actions = gateway.handle(now_us, arrived)
             for call in [a for a in actions if isinstance(a, AddToCounter)]:
-                actions += gateway.handle(time[0], CounterAnswered(call.name, Outcome.OK, call.amount, 1))
+                actions += gateway.handle(now_us, CounterAnswered(call.name, Outcome.OK, call.amount, 1))
             for sent in [a for a in actions if isinstance(a, SendAttempt)]:
-                went.add(sent.endpoint)
+                used.add(sent.endpoint)
                 ended = AttemptEnded(number, 0, sent.endpoint, Outcome.OK, 20_000, True)
-                gateway.handle(time[0], ended)
-        return went
+                gateway.handle(now_us, ended)
+        return used
 
-    assert sends() == {1, 2}
-    maintenance.take_offline("a")
-    assert sends() == {2}
-    maintenance.put_online("a")
-    assert sends() == {1, 2}
+    assert endpoints_used() == {1, 2}
+    overrides.take_offline("a")
+    assert endpoints_used() == {2}
+    overrides.put_online("a")
+    assert endpoints_used() == {1, 2}
 
 
 def through_the_codec(state: ServingState) -> ServingState:
@@ -125,22 +140,22 @@
 
 
 def test_operators_calls_hold_across_an_upgrade() -> None:
-    heard: list[Any] = []
-    old = overrides_of_own_directory(lambda: 7_000_000, heard.append)
-    made = overrides_of_own_directory(lambda: 9_000_000, heard.append)
+    published: list[EndpointList] = []
+    old = overrides_of_own_directory(lambda: 7_000_000, published.append)
+    new = overrides_of_own_directory(lambda: 9_000_000, published.append)
     listing = EndpointList.from_entries(0, True, (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3)))
     old.apply_list(listing)
     old.take_offline("a")
     old.take_offline("b")
     old.put_online("b")
     for part in old.entry_batches():  # as it comes through the channel
-        made.restore_entries(json.loads(json.dumps(part)))
+        new.restore_entries(json.loads(json.dumps(part)))
     state = through_the_codec(ServingState(old.snapshot(), is_draining=False, clock_base_us=1))
-    made.apply_list(made.restore(state.overrides))
-    told = {e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in heard[-1].entries}
-    assert told["a"] == ("draining", 3000, (HOST, 1)) and told["c"] == ("up", 0, (HOST, 3))
-    assert told["b"] == ("up", 7_000_000, (HOST, 2))
-    made.apply_operator_call("a", is_offline=False)
-    assert heard[-1].entries[0].state is EndpointState.READY and not made.offline
+    new.apply_list(new.restore(state.overrides))
+    last = {e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in published[-1].entries}
+    assert last["a"] == ("draining", 3000, (HOST, 1)) and last["c"] == ("up", 0, (HOST, 3))
+    assert last["b"] == ("up", 7_000_000, (HOST, 2))
+    new.apply_operator_call("a", is_offline=False)
+    assert published[-1].entries[0].state is EndpointState.READY and not new.offline
     with pytest.raises(IncompleteListError):
-        made.restore(old.snapshot())  # the list itself did not come
+        new.restore(old.snapshot())  # the list itself did not come
