--- a/tests/test_ingress_discovery.py
+++ b/tests/test_ingress_discovery.py
@@ -19,7 +19,7 @@
 from quota_ingress.net.lifecycle.ingress import Ingress
 from quota_ingress.policy.endpoint_list import EndpointState
 from tests.net_helpers import HOST, PeerServer
-from tests.process_helpers import config
+from tests.process_helpers import config_document
 from tests.support.discovery import (
     WATCH_HEAD,
     DiscoveryAgent,
@@ -33,7 +33,7 @@
 def build_ingress(tmp_path: Path, agent: PeerServer) -> Ingress:
     known = list_document(41, True, leaving="up", staying="up")
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config(known=known, discovery=f"{HOST}:{agent.port}")))
+    path.write_text(json.dumps(config_document(known=known, discovery=f"{HOST}:{agent.port}")))
     return Ingress(load_config(str(path), {}))
 
 
@@ -103,7 +103,7 @@
 
     monkeypatch.setattr(ingress.overrides, "apply_list", listed_then_read)
     path = tmp_path / "other.json"
-    path.write_text(json.dumps(config(discovery=f"{HOST}:{new.port}")))
+    path.write_text(json.dumps(config_document(discovery=f"{HOST}:{new.port}")))
     ingress.reload(str(path))
     async with asyncio.timeout(10):
         await done.wait()
