--- a/quota_ingress/net/discovery/directory.py
+++ b/quota_ingress/net/discovery/directory.py
@@ -59,13 +59,13 @@
         return packed is not None and is_ready(packed)
 
     def pack_shared(self, entry: EndpointEntry) -> PackedEntry:
-        """Returns the packed form of `entry`: the string held here, where it has not changed.
+        """Returns the packed form of `entry`: the string kept here, where it has not changed.
 
         A snapshot that repeats the list takes little memory beside this table.
         """
         packed = pack_entry(entry)
-        held = self._packed.get(entry.name)
-        return held if held == packed else packed
+        known = self._packed.get(entry.name)
+        return known if known == packed else packed
 
     def packed_entry(self, name: str) -> PackedEntry:
         """Returns the packed entry of endpoint `name`.
--- a/quota_ingress/net/discovery/incremental_reader.py
+++ b/quota_ingress/net/discovery/incremental_reader.py
@@ -1,6 +1,6 @@
 """Incremental reader of one long endpoint list: decodes and packs each entry as its text arrives.
 
-A list held whole, as text and as decoded values, takes ten times the memory of its packed entries. The reader
+A complete list, as text and as decoded values, takes ten times the memory of its packed entries. The reader
 is a coroutine over generators: each yields the number of further characters that it needs, and is resumed
 once these have arrived.
 """
@@ -141,7 +141,7 @@
         return packed
 
     def _complete_values(self) -> Iterator[Any]:
-        """Yields the values that are here whole, up to the last comma with text behind it.
+        """Yields the values that have come completely, up to the last comma with text behind it.
 
         One pass over them costs less than a generator resumed for each.
         """
--- a/quota_ingress/net/discovery/watch.py
+++ b/quota_ingress/net/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: opened from the version held, and anew whenever it ends or falls silent."""
+"""The watch on the endpoint list: reopened from the current version whenever it ends or falls silent."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
     Attributes:
         address: Host and port of the discovery.
-        version: The version of the list held, or None without a list.
-        directory: The list held, if it may be long; its strings are shared with lists that repeat it.
+        version: The current version of the list, or None without one.
+        directory: The current list, if it may be long; its strings are shared with lists that repeat it.
         first_list_received: Set once a list or a change has come.
         retry: Decides on waits and timeouts of the calls.
     """
@@ -43,11 +43,11 @@
 
         Args:
             address: Host and port of the discovery.
-            version: The version of the list held; without one, a snapshot is fetched first.
+            version: The current version of the list; without one, a snapshot is fetched first.
             on_list: Called with each list and each change of it.
             fleet_size: Ingresses that share the discovery.
             first_deadline: Seconds in which the first list has to come, where discovery can be reached.
-            directory: The list held, if it may be long.
+            directory: The current list, if it may be long.
             trace: Receives an event for each list and for the end of each call.
         """
         self.address = address
@@ -72,12 +72,12 @@
     def receive_from_peer(self, endpoint_list: EndpointList, base_version: int | None) -> None:
         """Takes a list that the other process of an upgrade received from the same discovery.
 
-        A change whose base is not held here would hide what lies between, and is ignored. The watch that is
-        open here may bring the change again, and those before it: `receive` ignores them.
+        A change whose base version is unknown here would hide what lies between, and is ignored. The watch
+        that is open here may bring the change again, and those before it: `receive` ignores them.
 
         Args:
             endpoint_list: The list or the change.
-            base_version: The version that the change builds on; None if the peer held none.
+            base_version: The version that the change builds on; None if the peer had none.
         """
         if self.version is None or endpoint_list.version <= self.version:
             return
--- a/quota_ingress/net/discovery/watch_connection.py
+++ b/quota_ingress/net/discovery/watch_connection.py
@@ -33,11 +33,11 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the list held."""
+        """The current version of the list."""
 
     @property
     def directory(self) -> EndpointDirectory | None:
-        """The list held, if it may be long."""
+        """The current list, if it may be long."""
 
     def receive(self, endpoint_list: EndpointList) -> None:
         """Takes a list or a change."""
--- a/quota_ingress/net/discovery/watch_retry.py
+++ b/quota_ingress/net/discovery/watch_retry.py
@@ -72,7 +72,7 @@
         self._call_starts.append(now)
 
     def on_message(self, now: float) -> None:
-        """Notes that a list or a heartbeat has come: the list held is current."""
+        """Notes that a list or a heartbeat has come: the current list is up to date."""
         self._stale_since = now
         self._was_queued = False
         self._next_call_within = NOTIFICATION_DEADLINE - FINAL_CALLS_TIME
