--- a/ingress_testbed/__main__.py
+++ b/ingress_testbed/__main__.py
@@ -15,22 +15,23 @@
 from ingress_testbed.slopes import MIN_SIZES
 from ingress_testbed.soak import run as soaks
 from ingress_testbed.soak.judge import figures, judge
-from ingress_testbed.sweep import ProgramError, Stopped, play
+from ingress_testbed.sweep import ProgramError, Sweep, SweepInterruptedError, play
 from ingress_testbed.worker import WorkerError
 
-STOPPED = 130
+INTERRUPTED_EXIT_CODE = 130
 
 
 @click.group(help=__doc__)
-def main() -> None: ...
+def main() -> None:
+    """Runs the command that is named."""
 
 
 @main.command("list")
 def list_all() -> None:
     """The experiments, what their sizes count, and their options."""
-    for e in ALL.values():
-        options = " ".join(f"{k}={v:g}" for k, v in e.options.items())
-        click.echo(f"{e.name:14} over {e.over}: {e.about} [{options}]")
+    for experiment in ALL.values():
+        options = " ".join(f"{name}={value:g}" for name, value in experiment.options.items())
+        click.echo(f"{experiment.name:14} over {experiment.size_name}: {experiment.about} [{options}]")
 
 
 def _sizes(context: click.Context, parameter: click.Parameter, text: str) -> list[int]:
@@ -61,16 +62,7 @@
     out: Path | None,
 ) -> None:
     """Plays experiment NAME at each size, and fits slopes."""
-    options = dict(ALL[name].options)
-    for change in changes:
-        key, _, value = change.partition("=")
-        if key not in options:
-            known = ", ".join(options)
-            raise click.BadParameter(f"{key!r} is no option of {name}: {known}", param_hint="--set")
-        try:
-            options[key] = float(value)
-        except ValueError:
-            raise click.BadParameter(f"{key}: {value!r} is not a number", param_hint="--set") from None
+    options = _changed_options(name, changes)
     path = out or Path(f"{name}.json")
     if not path.absolute().parent.is_dir():
         raise click.BadParameter(f"there is no folder for {path.name}", param_hint="--out")
@@ -79,17 +71,32 @@
     words += [f"--set {change}" for change in changes] + ([f"--program {commit}"] if commit else [])
     command = " ".join(words)
     try:
-        result = play(ALL[name], sizes, repeat, seed, options, path, commit, command, _report)
+        result = play(Sweep(ALL[name], sizes, repeat, seed, options, commit, command), path, _report)
     except ProgramError as error:
         raise click.BadParameter(str(error), param_hint="--program") from None
     except (WorkerError, RuntimeError, OSError) as error:
         raise click.ClickException(f"{error}; {path.name} holds what was played") from None
-    except Stopped:
+    except SweepInterruptedError:
         click.echo(f"stopped: {path.name} holds what was played", err=True)
-        sys.exit(STOPPED)
+        sys.exit(INTERRUPTED_EXIT_CODE)
     _show(result)
 
 
+def _changed_options(name: str, changes: tuple[str, ...]) -> dict[str, float]:
+    """Returns the options of experiment `name` with the changes of the command line."""
+    options = dict(ALL[name].options)
+    for change in changes:
+        key, _, value = change.partition("=")
+        if key not in options:
+            known = ", ".join(options)
+            raise click.BadParameter(f"{key!r} is no option of {name}: {known}", param_hint="--set")
+        try:
+            options[key] = float(value)
+        except ValueError:
+            raise click.BadParameter(f"{key}: {value!r} is not a number", param_hint="--set") from None
+    return options
+
+
 @main.command()
 @click.argument("path", type=click.Path(path_type=Path, dir_okay=False))
 def show(path: Path) -> None:
@@ -130,9 +137,9 @@
     sys.exit(1 if broken else 0)
 
 
-def _report(point: Point, took: float) -> None:
+def _report(point: Point, seconds: float) -> None:
     figures = "  ".join(f"{name} {value:.4g}" for name, value in point.figures.items())
-    click.echo(f"size {point.size:g} ({took:.0f} s): {figures}")
+    click.echo(f"size {point.size:g} ({seconds:.0f} s): {figures}")
 
 
 def _show(result: Result) -> None:
--- a/ingress_testbed/experiments/fleet.py
+++ b/ingress_testbed/experiments/fleet.py
@@ -1,199 +1,288 @@
-"""What a fleet costs those it leans on: hollow ingresses beside two real ones."""
+"""What a fleet costs discovery and the counter: hollow ingresses beside two real ones."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
 
 from ingress_testbed import proc
-from ingress_testbed.experiments.base import NOWHERE, Experiment, Figures
+from ingress_testbed.experiments.base import UNUSED_PORT, Experiment, ExperimentError, Figures
 from ingress_testbed.lab import Lab
 from ingress_testbed.model import HOST, OUTAGE, Shape
+from ingress_testbed.real import IngressProcess
 from ingress_testbed.worker import Worker
 
-REAL = 2
-CROWD = 100  # hollow ones to a process
-PACE = 0.01  # s between their starts
-GAP = 0.1  # s between changes
+REAL_INGRESSES = 2
+HOLLOW_PER_WORKER = 100
+START_INTERVAL = 0.01  # s between the starts of two hollow ingresses of a worker
+CHANGE_INTERVAL = 0.1  # s
+POLL_INTERVAL = 0.1  # s
+SETTLING_TIME = 1.0  # s after a start or after changes
+
+Counts = dict[str, int]  # as hosts count them, by name
 
 
 class Fleet:
-    """All processes of one play."""
+    """All processes of one play.
+
+    Attributes:
+        lab: Starts them.
+        hollow_count: Hollow ingresses.
+        ingress_count: All ingresses.
+        discovery: Its worker.
+        counter: Its worker.
+        hollow_workers: Workers with a part of the hollow ingresses each.
+        real: The real ingresses.
+        empty_discovery_mb: Memory of the discovery before any ingress watched.
+        start_cpu: Seconds of discovery's CPU for the starts of the hollow ingresses.
+        start_bytes: Sent by discovery meanwhile.
+    """
 
-    def __init__(self, lab: Lab, size: int) -> None:
-        self.lab, self.size = lab, size
-        self.crowds: list[Worker] = []
+    discovery: Worker
+    counter: Worker
+    real: list[IngressProcess]
+    empty_discovery_mb: float
+    start_cpu: float
+    start_bytes: int
+
+    def __init__(self, lab: Lab, hollow_count: int) -> None:
+        """Starts nothing before `start`."""
+        self.lab = lab
+        self.hollow_count = hollow_count
+        self.ingress_count = hollow_count + REAL_INGRESSES
+        self.hollow_workers: list[Worker] = []
 
     async def start(self) -> None:
-        lab, whole = self.lab, self.size + REAL
-        self.discovery, port = await lab.discovery(lab.option("backends"), NOWHERE)
-        self.empty_mb = proc.memory(self.discovery.pid)[0]
-        self.counter, counting = await lab.counter()
-        shapes = [Shape(fleet_size=whole, me=self.size + n) for n in range(REAL)]
-        self.real = [await lab.ingress(shape, port, counting) for shape in shapes]
-        for _ in range(0, self.size, CROWD):
-            self.crowds.append(await lab.worker("ingress_testbed.hollow:HollowFleet"))
-        starts = [
-            crowd.call(
+        """Returns once every ingress watches the list.
+
+        Raises:
+            ExperimentError: Some do not come to watch it.
+        """
+        lab = self.lab
+        self.discovery, discovery_port = await lab.discovery(lab.option("backends"), UNUSED_PORT)
+        self.empty_discovery_mb, _ = proc.memory(self.discovery.pid)
+        self.counter, counter_port = await lab.counter()
+        self.real = []
+        for number in range(self.hollow_count, self.ingress_count):
+            shape = Shape(fleet_size=self.ingress_count, me=number)
+            self.real.append(await lab.ingress(shape, discovery_port, counter_port))
+        for _ in range(0, self.hollow_count, HOLLOW_PER_WORKER):
+            self.hollow_workers.append(await lab.worker("ingress_testbed.hollow:HollowFleet"))
+        await self._start_hollow(discovery_port, counter_port)
+
+    async def _start_hollow(self, discovery_port: int, counter_port: int) -> None:
+        starts = []
+        for number, worker in enumerate(self.hollow_workers):
+            first = number * HOLLOW_PER_WORKER
+            start = worker.call(
                 "start",
-                first=n * CROWD,
-                count=min(CROWD, self.size - n * CROWD),
-                fleet_size=whole,
-                discovery=[HOST, port],
-                counter=counting,
-                pace=PACE,
+                first=first,
+                count=min(HOLLOW_PER_WORKER, self.hollow_count - first),
+                fleet_size=self.ingress_count,
+                discovery=[HOST, discovery_port],
+                counter=counter_port,
+                pace=START_INTERVAL,
             )
-            for n, crowd in enumerate(self.crowds)
-        ]
-        before, told = proc.cpu(self.discovery.pid), await self.discovery.call("counts")
+            starts.append(start)
+        cpu_before = proc.cpu(self.discovery.pid)
+        counts_before = await self.discovery_counts()
         await asyncio.gather(*starts)
-        if not await self.until(lambda told: told["watches"] >= whole):
-            raise RuntimeError("not every ingress came to watch")
-        now = await self.discovery.call("counts")
-        self.cpu_starts = proc.cpu(self.discovery.pid) - before
-        self.bytes_starts = now["sent"] - told["sent"]
+        if not await self.wait_for(lambda counts: counts["watches"] >= self.ingress_count):
+            raise ExperimentError("not every ingress came to watch")
+        counts = await self.discovery_counts()
+        self.start_cpu = proc.cpu(self.discovery.pid) - cpu_before
+        self.start_bytes = counts["sent"] - counts_before["sent"]
+
+    async def discovery_counts(self) -> Counts:
+        """Returns what discovery has counted so far."""
+        counts: Counts = await self.discovery.call("counts")
+        return counts
+
+    async def counter_counts(self) -> Counts:
+        """Returns what the counter has counted so far."""
+        counts: Counts = await self.counter.call("counts")
+        return counts
 
-    async def until(self, holds: Callable[[dict[str, Any]], bool], longest: float = 60.0) -> bool:
+    async def wait_for(self, holds: Callable[[Counts], bool], timeout: float = 60.0) -> bool:
+        """Returns True once `holds` of discovery's counts, or False after `timeout` seconds."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + longest
-        while not holds(await self.discovery.call("counts")):
+        end = loop.time() + timeout
+        while not holds(await self.discovery_counts()):
             if loop.time() > end:
                 return False
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(POLL_INTERVAL)
         return True
 
-    async def in_force(self, version: int, since: float, longest: float = 30.0) -> list[float]:
-        """S from `since` until that version was in force at each hollow one that has it within `longest`."""
-        end = time.monotonic() + longest
+    async def delays(self, version: int, since: float, timeout: float = 30.0) -> list[float]:
+        """Returns the seconds from `since` until that version was in force, in order.
+
+        There is one for each hollow ingress that has it within `timeout` seconds.
+        """
+        end = time.monotonic() + timeout
         while True:
-            told = [t for crowd in self.crowds for t in await crowd.call("in_force", version=version)]
-            if len(told) >= self.size or time.monotonic() > end:
-                return sorted(t - since for t in told)
-            await asyncio.sleep(0.1)
+            moments: list[float] = []
+            for worker in self.hollow_workers:
+                moments += await worker.call("in_force", version=version)
+            if len(moments) >= self.hollow_count or time.monotonic() > end:
+                return sorted(moment - since for moment in moments)
+            await asyncio.sleep(POLL_INTERVAL)
+
+
+@dataclass(frozen=True, slots=True)
+class _IdleCost:
+    """Seconds of CPU a second while nothing changes and nobody asks."""
+
+    discovery: float
+    counter: float
 
 
 async def fan_out(lab: Lab, size: int) -> Figures:
+    """Plays changes of the list, a lost zone and requests to a fleet of `size` hollow ingresses."""
     fleet = Fleet(lab, size)
     await fleet.start()
-    whole = size + REAL
-    await asyncio.sleep(1.0)
-    told, pids = await fleet.discovery.call("counts"), {"d": fleet.discovery.pid, "c": fleet.counter.pid}
-    counted = await fleet.counter.call("counts")
-    before = {name: proc.cpu(pid) for name, pid in pids.items()}
-    idle = lab.options["idle"]
-    await asyncio.sleep(idle)
-    beats, pings = (proc.cpu(pids[n]) - before[n] for n in "dc")
-    pinged = (await fleet.counter.call("counts"))["pings"] - counted["pings"]
+    await asyncio.sleep(SETTLING_TIME)
+    discovery_counts = await fleet.discovery_counts()
+    counter_counts = await fleet.counter_counts()
+    seconds = lab.options["idle"]
+    idle = await _idle_cost(fleet, seconds)
+    pings = (await fleet.counter_counts())["pings"] - counter_counts["pings"]
+    discovery_mb, _ = proc.memory(fleet.discovery.pid)
     figures = {
-        "discovery_cpu_idle_ms_per_s": beats / idle * 1e3,
-        "counter_cpu_idle_ms_per_s": pings / idle * 1e3,
-        "counter_pings_per_s_n": pinged / idle,
-        "counter_connections_n": float(counted["connections"]),
-        "discovery_mb": proc.memory(fleet.discovery.pid)[0] - fleet.empty_mb,
-        "watches_n": float(told["watches"]),
-        "discovery_cpu_starts_ms": fleet.cpu_starts * 1e3,
-        "discovery_starts_b": float(fleet.bytes_starts),
+        "discovery_cpu_idle_ms_per_s": idle.discovery * 1e3,
+        "counter_cpu_idle_ms_per_s": idle.counter * 1e3,
+        "counter_pings_per_s_n": pings / seconds,
+        "counter_connections_n": float(counter_counts["connections"]),
+        "discovery_mb": discovery_mb - fleet.empty_discovery_mb,
+        "watches_n": float(discovery_counts["watches"]),
+        "discovery_cpu_starts_ms": fleet.start_cpu * 1e3,
+        "discovery_starts_b": float(fleet.start_bytes),
     }
-    figures |= await _changes(fleet, beats / idle)
-    figures |= await _zone(fleet)
-    figures |= await _calls(fleet, pings / idle, whole)
-    crowds = [proc.memory(crowd.pid)[0] for crowd in fleet.crowds]
-    return figures | {"hollow_mb_each": sum(crowds) / size}
+    figures |= await _play_changes(fleet, idle)
+    figures |= await _lose_zone(fleet)
+    figures |= await _play_requests(fleet, idle)
+    hollow_mb = [proc.memory(worker.pid)[0] for worker in fleet.hollow_workers]
+    return figures | {"hollow_mb_each": sum(hollow_mb) / size}
 
 
-async def _changes(fleet: Fleet, beats: float) -> Figures:
-    """One backend a line, a line after another."""
-    lines, times, told = fleet.lab.option("lines"), [], await fleet.discovery.call("counts")
-    before, real = proc.cpu(fleet.discovery.pid), sum(r.cpu() for r in fleet.real)
+async def _idle_cost(fleet: Fleet, seconds: float) -> _IdleCost:
+    discovery_before = proc.cpu(fleet.discovery.pid)
+    counter_before = proc.cpu(fleet.counter.pid)
+    await asyncio.sleep(seconds)
+    discovery = proc.cpu(fleet.discovery.pid) - discovery_before
+    counter = proc.cpu(fleet.counter.pid) - counter_before
+    return _IdleCost(discovery / seconds, counter / seconds)
+
+
+async def _play_changes(fleet: Fleet, idle: _IdleCost) -> Figures:
+    """Plays one backend a line, a line after another."""
+    lines = fleet.lab.option("lines")
+    counts_before = await fleet.discovery_counts()
+    cpu_before = proc.cpu(fleet.discovery.pid)
+    real_before = sum(ingress.cpu() for ingress in fleet.real)
     began = time.monotonic()
-    versions = []
+    changed_at: dict[int, float] = {}  # by version
     for _ in range(lines):
         since = time.monotonic()
-        versions.append((await fleet.discovery.call("change"), since))
-        await asyncio.sleep(GAP)
-    passed = time.monotonic() - began
-    await asyncio.sleep(1.0)
-    spent = proc.cpu(fleet.discovery.pid) - before - beats * (passed + 1.0)
-    real = sum(r.cpu() for r in fleet.real) - real
-    for version, since in versions:
-        times += await fleet.in_force(version, since)
-    now = await fleet.discovery.call("counts")
-    times.sort()
+        changed_at[await fleet.discovery.call("change")] = since
+        await asyncio.sleep(CHANGE_INTERVAL)
+    seconds = time.monotonic() - began + SETTLING_TIME
+    await asyncio.sleep(SETTLING_TIME)
+    cpu = proc.cpu(fleet.discovery.pid) - cpu_before - idle.discovery * seconds
+    real_cpu = sum(ingress.cpu() for ingress in fleet.real) - real_before
+    delays: list[float] = []
+    for version, since in changed_at.items():
+        delays += await fleet.delays(version, since)
+    delays.sort()
+    counts = await fleet.discovery_counts()
     return {
-        "discovery_cpu_change_us": spent / lines * 1e6,
-        "discovery_change_b": (now["sent"] - told["sent"]) / lines,
-        "real_cpu_change_us": real / REAL / lines * 1e6,
-        "in_force_part": len(times) / (lines * fleet.size),
-        "in_force_p50_ms": times[len(times) // 2] * 1e3,
-        "in_force_p99_ms": times[len(times) * 99 // 100] * 1e3,
-        "in_force_max_ms": times[-1] * 1e3,
+        "discovery_cpu_change_us": cpu / lines * 1e6,
+        "discovery_change_b": (counts["sent"] - counts_before["sent"]) / lines,
+        "real_cpu_change_us": real_cpu / REAL_INGRESSES / lines * 1e6,
+        "in_force_part": len(delays) / (lines * fleet.hollow_count),
+        "in_force_p50_ms": delays[len(delays) // 2] * 1e3,
+        "in_force_p99_ms": delays[len(delays) * 99 // 100] * 1e3,
+        "in_force_max_ms": delays[-1] * 1e3,
     }
 
 
-async def _zone(fleet: Fleet) -> Figures:
-    before, since = proc.cpu(fleet.discovery.pid), time.monotonic()
+async def _lose_zone(fleet: Fleet) -> Figures:
+    """Takes the backends of a zone off the list, in one line."""
+    cpu_before = proc.cpu(fleet.discovery.pid)
+    since = time.monotonic()
     version = await fleet.discovery.call("remove", fraction=OUTAGE)
-    times = await fleet.in_force(version, since)
+    delays = await fleet.delays(version, since)
     return {
-        "discovery_cpu_zone_ms": (proc.cpu(fleet.discovery.pid) - before) * 1e3,
-        "zone_in_force_max_ms": times[-1] * 1e3,
-        "zone_in_force_part": len(times) / fleet.size,
+        "discovery_cpu_zone_ms": (proc.cpu(fleet.discovery.pid) - cpu_before) * 1e3,
+        "zone_in_force_max_ms": delays[-1] * 1e3,
+        "zone_in_force_part": len(delays) / fleet.hollow_count,
     }
 
 
-async def _calls(fleet: Fleet, pings: float, whole: int) -> Figures:
-    """Requests at each hollow one; how often it calls the counter is the module's own pacing."""
-    lab, seconds = fleet.lab, fleet.lab.options["seconds"]
-    was, before, began = await fleet.counter.call("counts"), proc.cpu(fleet.counter.pid), time.monotonic()
-    much = {"rate": lab.option("rate"), "seconds": seconds}
-    spread = min(lab.option("spread"), whole)
-    asks = [
-        c.call("requests", customers=lab.option("customers"), spread=spread, **much) for c in fleet.crowds
+async def _play_requests(fleet: Fleet, idle: _IdleCost) -> Figures:
+    """Plays requests at each hollow ingress; how often it calls the counter is the policy's own pacing."""
+    lab = fleet.lab
+    seconds = lab.options["seconds"]
+    counts_before = await fleet.counter_counts()
+    cpu_before = proc.cpu(fleet.counter.pid)
+    began = time.monotonic()
+    plays = [
+        worker.call(
+            "requests",
+            customers=lab.option("customers"),
+            spread=min(lab.option("spread"), fleet.ingress_count),
+            rate=lab.option("rate"),
+            seconds=seconds,
+        )
+        for worker in fleet.hollow_workers
     ]
-    got = await asyncio.gather(*asks)
-    passed = time.monotonic() - began
-    now = await fleet.counter.call("counts")
-    calls = now["adds"] - was["adds"]
-    served, refused = (sum(g[n] for g in got) for n in ("served", "refused"))
-    spent = proc.cpu(fleet.counter.pid) - before - pings * passed
+    answers = await asyncio.gather(*plays)
+    duration = time.monotonic() - began
+    counts = await fleet.counter_counts()
+    calls = counts["adds"] - counts_before["adds"]
+    served = sum(answer["served"] for answer in answers)
+    requests = max(1, served + sum(answer["refused"] for answer in answers))
+    cpu = proc.cpu(fleet.counter.pid) - cpu_before - idle.counter * duration
+    counter_mb, _ = proc.memory(fleet.counter.pid)
     return {
         "counter_calls_per_s_n": calls / seconds,
-        "counter_cpu_call_us": spent / max(1, calls) * 1e6,
-        "counter_calls_per_request_n": calls / max(1, served + refused),
-        "counter_names_n": float(now["names"]),
-        "hollow_served_part": served / max(1, served + refused),
-        "counter_mb": proc.memory(fleet.counter.pid)[0],
+        "counter_cpu_call_us": cpu / max(1, calls) * 1e6,
+        "counter_calls_per_request_n": calls / requests,
+        "counter_names_n": float(counts["names"]),
+        "hollow_served_part": served / requests,
+        "counter_mb": counter_mb,
     }
 
 
 async def reconnect(lab: Lab, size: int) -> Figures:
-    """All watches end at once, and discovery answers only so many calls a second: until all watch again."""
+    """Ends all watches at once; discovery answers only so many calls a second until all watch again."""
     fleet = Fleet(lab, size)
     await fleet.start()
-    whole = size + REAL
-    was = await fleet.discovery.call("counts")
+    before = await fleet.discovery_counts()
     await fleet.discovery.call("set_capacity", capacity=lab.option("capacity"))
-    before, since = proc.cpu(fleet.discovery.pid), time.monotonic()
+    cpu_before = proc.cpu(fleet.discovery.pid)
+    since = time.monotonic()
     version = await fleet.discovery.call("change")
     await fleet.discovery.call("abort_watches")
     await fleet.discovery.call("change")
-    back = await fleet.until(lambda told: told["watches"] >= whole, longest=lab.option("longest"))
-    passed = time.monotonic() - since
-    now = await fleet.discovery.call("counts")
-    times = await fleet.in_force(version + 1, since, longest=1.0)
+    is_back = await fleet.wait_for(
+        lambda counts: counts["watches"] >= fleet.ingress_count, timeout=lab.option("longest")
+    )
+    duration = time.monotonic() - since
+    after = await fleet.discovery_counts()
+    delays = await fleet.delays(version + 1, since, timeout=1.0)
     return {
-        "back_s": passed,
-        "back_n": float(back),
-        "calls_each_n": (now["calls"] - was["calls"]) / whole,
-        "turned_away_n": float(now["rejected"] - was["rejected"]),
-        "lists_n": float(now["lists"] - was["lists"]),
-        "discovery_cpu_ms": (proc.cpu(fleet.discovery.pid) - before) * 1e3,
-        "sent_b": float(now["sent"] - was["sent"]),
-        "in_force_p50_s": times[len(times) // 2] if times else 0.0,
-        "in_force_max_s": times[-1] if times else 0.0,
-        "in_force_part": len(times) / size,
+        "back_s": duration,
+        "back_n": float(is_back),
+        "calls_each_n": (after["calls"] - before["calls"]) / fleet.ingress_count,
+        "turned_away_n": float(after["rejected"] - before["rejected"]),
+        "lists_n": float(after["lists"] - before["lists"]),
+        "discovery_cpu_ms": (proc.cpu(fleet.discovery.pid) - cpu_before) * 1e3,
+        "sent_b": float(after["sent"] - before["sent"]),
+        "in_force_p50_s": delays[len(delays) // 2] if delays else 0.0,
+        "in_force_max_s": delays[-1] if delays else 0.0,
+        "in_force_part": len(delays) / size,
     }
 
 
--- a/ingress_testbed/experiments/quotas.py
+++ b/ingress_testbed/experiments/quotas.py
@@ -1,4 +1,4 @@
-"""What a whole fleet lets in of its customers' quotas, and beyond them, by what the counter can answer."""
+"""What a whole fleet admits of its customers' quotas, and beyond them, by what the counter can answer."""
 
 from __future__ import annotations
 
@@ -7,11 +7,16 @@
 
 
 async def quotas(lab: Lab, size: int) -> Figures:
-    """`size`: calls a second that the counter can answer."""
+    """Plays a fleet in simulated time; `size` is the calls a second that the counter can answer."""
     worker = await lab.worker("ingress_testbed.quota_day:Host")
-    sizes = {"fleet_size": lab.option("fleet_size"), "seconds": lab.option("seconds")}
-    told: Figures = await worker.call("play", calls_per_s=size, seed=lab.seed, **sizes)
-    return told
+    figures: Figures = await worker.call(
+        "play",
+        calls_per_s=size,
+        seed=lab.seed,
+        fleet_size=lab.option("fleet_size"),
+        seconds=lab.option("seconds"),
+    )
+    return figures
 
 
 EXPERIMENTS = (
