--- a/quota_ingress/simulator/encoder.py
+++ b/quota_ingress/simulator/encoder.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
+from functools import partial
 
 from quota_ingress.policy.actions import (
     Action,
@@ -28,7 +29,27 @@
     endpoint_bytes,
 )
 
-RequestAction = SendAttempt | Reject | Fail | CancelAttempt
+
+def _packer(code: ActionCode) -> Callable[..., bytes]:
+    """Returns a function that makes a record of that kind from its fields."""
+    return partial(ACTION_LAYOUTS[code].pack, code)
+
+
+_pack_submit_to = _packer(ActionCode.SUBMIT_TO)
+_pack_overload_reply = _packer(ActionCode.OVERLOAD_REPLY)
+_pack_respond_error = _packer(ActionCode.RESPOND_ERROR)
+_pack_drop_attempt = _packer(ActionCode.DROP_ATTEMPT)
+_pack_arm = _packer(ActionCode.ARM)
+_pack_probe = _packer(ActionCode.PROBE)
+_pack_free_links = _packer(ActionCode.FREE_LINKS)
+_pack_tell = _packer(ActionCode.TELL)
+_pack_record = _packer(ActionCode.RECORD)
+_pack_tail = _packer(ActionCode.TAIL)
+_pack_get_list = _packer(ActionCode.GET_LIST)
+_pack_incr = _packer(ActionCode.INCR)
+_pack_speaking = _packer(ActionCode.SPEAKING)
+
+RareAction = Probe | CloseIdleConnections | SendToPeer | Log | SubscribeToEndpoints | FetchEndpointList
 
 
 def encode_reply(number: int, groups: Sequence[tuple[int, Sequence[Action]]]) -> bytes:
@@ -37,7 +58,7 @@
     tail = bytearray()
     for instance, actions in groups:
         if actions:
-            records.append(_record(ActionCode.SPEAKING, instance))
+            records.append(_pack_speaking(instance))
             records.extend(_encode_action(action, tail) for action in actions)
     body = b"".join(records)
     length = REPLY_HEADER.size - LENGTH.size + len(body) + len(tail)
@@ -46,51 +67,38 @@
 
 def _encode_action(action: Action, tail: bytearray) -> bytes:
     """Returns an action's record; data of variable size goes into the tail."""
-    match action:
-        case SendAttempt() | Reject() | Fail() | CancelAttempt():
-            return _encode_request_action(action)
-        case SetTimer(token, at):
-            return _record(ActionCode.ARM, token, at)
-        case AddToCounter(name, amount, ttl):
-            return _record(ActionCode.INCR, ttl, name, amount)
-        case SendToPeer(peer, data):
-            recipient = EVERY_PEER if peer is None else peer
-            return _record(ActionCode.TELL, recipient, _append(tail, data), len(data))
-        case Log(text):
-            data = text.encode()
-            return _record(ActionCode.RECORD, _append(tail, data), len(data))
-        case _:
-            return _encode_endpoint_action(action)
-
-
-def _encode_request_action(action: RequestAction) -> bytes:
     match action:
         case SendAttempt(request, endpoint, timeout):
-            return _record(ActionCode.SUBMIT_TO, request, endpoint_bytes(endpoint), timeout)
+            return _pack_submit_to(request, endpoint_bytes(endpoint), timeout)
         case Reject(request, retry_after):
-            return _record(ActionCode.OVERLOAD_REPLY, request, retry_after)
+            return _pack_overload_reply(request, retry_after)
+        case AddToCounter(name, amount, ttl):
+            return _pack_incr(ttl, name, amount)
+        case SetTimer(token, at):
+            return _pack_arm(token, at)
         case Fail(request):
-            return _record(ActionCode.RESPOND_ERROR, request)
+            return _pack_respond_error(request)
         case CancelAttempt(request, attempt):
-            return _record(ActionCode.DROP_ATTEMPT, request, attempt)
+            return _pack_drop_attempt(request, attempt)
+        case _:
+            return _encode_rare_action(action, tail)
 
 
-def _encode_endpoint_action(
-    action: Probe | CloseIdleConnections | SubscribeToEndpoints | FetchEndpointList,
-) -> bytes:
+def _encode_rare_action(action: RareAction, tail: bytearray) -> bytes:
     match action:
         case Probe(endpoint):
-            return _record(ActionCode.PROBE, endpoint_bytes(endpoint))
+            return _pack_probe(endpoint_bytes(endpoint))
         case CloseIdleConnections(endpoint):
-            return _record(ActionCode.FREE_LINKS, endpoint_bytes(endpoint))
+            return _pack_free_links(endpoint_bytes(endpoint))
+        case SendToPeer(peer, data):
+            return _pack_tell(EVERY_PEER if peer is None else peer, _append(tail, data), len(data))
+        case Log(text):
+            data = text.encode()
+            return _pack_record(_append(tail, data), len(data))
         case SubscribeToEndpoints(on):
-            return _record(ActionCode.TAIL, on)
+            return _pack_tail(on)
         case FetchEndpointList():
-            return _record(ActionCode.GET_LIST)
-
-
-def _record(code: ActionCode, *fields: float | bytes) -> bytes:
-    return ACTION_LAYOUTS[code].pack(code, *fields)
+            return _pack_get_list()
 
 
 def _append(tail: bytearray, data: bytes) -> int:
