--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -6,6 +6,7 @@
 import json
 import os
 import signal
+import socket
 import subprocess
 import sys
 from collections.abc import Callable
@@ -30,6 +31,38 @@
     )
 
 
+class SharedListener:
+    """The clients' listening socket as the platform holds it, and the directory that processes share."""
+
+    def __init__(self, directory: Path) -> None:
+        self.socket = socket.create_server((HOST, 0))
+        self.port: int = self.socket.getsockname()[1]
+        self.environment = {"EDGE_LISTEN_FD": str(self.socket.fileno()), "TMPDIR": str(directory)}
+
+    def __enter__(self) -> SharedListener:
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        self.socket.close()
+
+    def start(self, path: Path, **environment: str) -> subprocess.Popen[str]:
+        """Starts a process beside those that run."""
+        return start_ingress(path, (self.socket.fileno(),), **(self.environment | environment))
+
+    async def serve(self, path: Path, **environment: str) -> subprocess.Popen[str]:
+        """Starts a process, and returns it once it accepts."""
+        process = self.start(path, **environment)
+        assert await asyncio.to_thread(listening_port, process) == self.port
+        return process
+
+
+async def kill(*processes: subprocess.Popen[str]) -> None:
+    """Ends processes at once."""
+    for process in processes:
+        process.kill()
+        await asyncio.to_thread(process.communicate)
+
+
 async def stop_orderly(process: subprocess.Popen[str], timeout_seconds: float = 60) -> str:
     """Sends SIGTERM, and returns the rest of the log of a process that ends as it should."""
     process.send_signal(signal.SIGTERM)
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -7,7 +7,6 @@
 import json
 import os
 import socket
-import subprocess
 import time
 from pathlib import Path
 
@@ -31,7 +30,7 @@
     read_answer,
     request,
 )
-from tests.process_helpers import config_document, fetch, listening_port, start_ingress, stop_orderly
+from tests.process_helpers import SharedListener, config_document, fetch, kill, stop_orderly
 from tests.support.upgrade import RecordingParticipant
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -47,20 +46,16 @@
     path, folder = tmp_path / "config.json", tmp_path / "shared"
     folder.mkdir()
     path.write_text(json.dumps(config_document()))
-    with socket.create_server((HOST, 0)) as held:
-        held.set_inheritable(True)
-        inherits = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(folder)}
+    with SharedListener(folder) as shared:
         faults.set(call, error, 1 if call is Call.RENAME else 2)
-        ran = start_ingress(path, (held.fileno(),), **(inherits | faults.environment()))
-        port = await asyncio.to_thread(listening_port, ran)
+        serving = await shared.serve(path, **faults.environment())
         faults.clear()
         coming = UpgradeCoordinator(RecordingParticipant(), str(folder))
         async with asyncio.timeout(10):
             while not await coming.find():
                 await asyncio.sleep(0.05)
         coming.stop()
-        assert port == held.getsockname()[1]
-        await stop_orderly(ran, timeout_seconds=30)
+        await stop_orderly(serving, timeout_seconds=30)
     faults.close()
 
 
@@ -82,22 +77,16 @@
     listed = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
     known = {"index": 1, "snapshot": True, "endpoints": [listed]}
     path.write_text(json.dumps(config_document(known=known, counter=f"{HOST}:{counter.port}")))
-    with socket.create_server((HOST, 0)) as held:
-        held.set_inheritable(True)
-        more = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)} | faults.environment()
-        old = start_ingress(path, (held.fileno(),), **more)
-        port = await asyncio.to_thread(listening_port, old)
+    with SharedListener(tmp_path) as shared:
+        old = await shared.serve(path, **faults.environment())
         faults.shift_wall_clock(step)
-        new = start_ingress(path, (held.fileno(),), **more)
-        await asyncio.to_thread(listening_port, new)
+        new = await shared.serve(path, **faults.environment())
         for number in range(12):
             customer = f"customer={number:016x}"
             assert b" 200 " in await fetch(
-                port, request(f"r{number}", X_Quota="units=1,spread=2,first=0", Cookie=customer)
+                shared.port, request(f"r{number}", X_Quota="units=1,spread=2,first=0", Cookie=customer)
             )
-        for ran in (new, old):
-            ran.kill()
-            await asyncio.to_thread(ran.communicate)
+        await kill(new, old)
     window = 2  # s: burst over rate of the plan
     expected = {counter_name(n, int(at) // window - d) for n in range(12) for _, at in added for d in (0, 1)}
     assert added and {name for name, _ in added} <= expected
@@ -125,24 +114,20 @@
     ]
     path, known = tmp_path / "config.json", {"index": 4, "snapshot": True, "endpoints": entries}
     path.write_text(json.dumps(config_document(known=known, discovery=f"{HOST}:{agent.port}")))
-    with socket.create_server((HOST, 0)) as held:
-        held.set_inheritable(True)
-        more = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
-        old = start_ingress(path, (held.fileno(),), **more)
-        port = await asyncio.to_thread(listening_port, old)
-        _, kept = await asyncio.open_connection(HOST, port)  # the old process stays until it is closed
-        new = start_ingress(path, (held.fileno(),), **more)
-        await asyncio.to_thread(listening_port, new)
+    with SharedListener(tmp_path) as shared:
+        old = await shared.serve(path)
+        _, kept = await asyncio.open_connection(HOST, shared.port)  # the old process stays until it is closed
+        new = await shared.serve(path)
         drains = {"index": 5, "snapshot": False, "endpoints": [entries[0] | {"status": "draining"}]}
         line = json.dumps(drains).encode() + b"\n"
         watches[0].transport.write(b"%x\r\n%b\r\n" % (len(line), line))
         await asyncio.sleep(0.3)  # past the grace
         for number in range(20):
-            assert b" 200 " in await fetch(port, request(f"r{number}", Cookie=f"customer={number:016x}"))
+            assert b" 200 " in await fetch(
+                shared.port, request(f"r{number}", Cookie=f"customer={number:016x}")
+            )
         kept.close()
-        for ran in (new, old):
-            ran.kill()
-            await asyncio.to_thread(ran.communicate)
+        await kill(new, old)
     assert not servers[0].peers and servers[1].peers
     for server in (*servers, agent):
         server.stop()
@@ -166,9 +151,8 @@
     server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
     path, admin = tmp_path / "config.json", free_port()
     path.write_text(json.dumps(config_document(admin=f"{HOST}:{admin}")))
-    with socket.create_server((HOST, 0)) as held:
-        held.set_inheritable(True)
-        ran = start_ingress(path, (held.fileno(),), EDGE_LISTEN_FD=str(held.fileno()), TMPDIR=str(tmp_path))
+    with SharedListener(tmp_path) as shared:
+        starting = shared.start(path)
         called = time.monotonic()
         while True:  # as soon as it takes calls
             try:
@@ -179,8 +163,7 @@
         assert time.monotonic() - called < slow + 1.5 and taken == 200
         assert await operators_call(admin, "POST /control/backends/b/offline") == 404
         assert await operators_call(admin, "POST /control/backends/a/online") == 200
-        ran.kill()
-        await asyncio.to_thread(ran.communicate)
+        await kill(starting)
     server.close()
 
 
@@ -198,81 +181,62 @@
     """With nothing left to answer it ended at once; a successor that died then left nobody to serve."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document()))
-    with socket.create_server((HOST, 0)) as held:
-        held.set_inheritable(True)
-        more = {"EDGE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(tmp_path)}
-        old = start_ingress(path, (held.fileno(),), **more)
-        port = await asyncio.to_thread(listening_port, old)
-        new = start_ingress(path, (held.fileno(),), **more)
-        await asyncio.to_thread(listening_port, new)
+    with SharedListener(tmp_path) as shared:
+        old = await shared.serve(path)
+        new = await shared.serve(path)
         await asyncio.sleep(0.2)
-        new.kill()
-        await asyncio.to_thread(new.communicate)
-        assert (await fetch(port, UP)).startswith(b"HTTP/1.1 200 ")  # by the old one
-        old.kill()
-        await asyncio.to_thread(old.communicate)
+        await kill(new)
+        assert (await fetch(shared.port, UP)).startswith(b"HTTP/1.1 200 ")  # by the old one
+        await kill(old)
 
 
 async def test_two_real_processes_one_listener_nothing_lost(tmp_path: Path) -> None:
     """What the old one took is answered, the rest is the new one's, a ban holds, the old one leaves."""
     server = await PeerServer().start()
-    boxes = [
+    endpoints = [
         {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"},
         {"name": "s-2", "address": f"{HOST}:1", "status": "up"},
     ]
-    listening = socket.create_server((HOST, 0))
-    port = listening.getsockname()[1]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config_document(known={"index": 1, "snapshot": True, "endpoints": boxes})))
-    admins: list[int] = []
-
-    def run() -> subprocess.Popen[str]:
-        with socket.create_server((HOST, 0)) as free:
-            admins.append(free.getsockname()[1])
-        more = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
-        return start_ingress(path, inherited=(listening.fileno(),), EDGE_ADMIN=f"{HOST}:{admins[-1]}", **more)
-
-    def calling(line: str) -> bytes:
-        return f"{line} HTTP/1.1\r\nHost: a\r\n\r\n".encode()
-
-    first = run()
-    await asyncio.to_thread(listening_port, first)
-    assert (await fetch(admins[0], calling("POST /control/backends/s-2/offline"))).startswith(
-        b"HTTP/1.1 200 "
-    )
-    reader, writer = await asyncio.open_connection(HOST, port)
+    known = {"index": 1, "snapshot": True, "endpoints": endpoints}
+    path.write_text(json.dumps(config_document(known=known)))
+    old_admin, new_admin = free_port(), free_port()
+    shared = SharedListener(tmp_path)
+
+    old = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{old_admin}")
+    assert await operators_call(old_admin, "POST /control/backends/s-2/offline") == 200
+    reader, writer = await asyncio.open_connection(HOST, shared.port)
     writer.write(request("old", "order"))
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
-    second = run()
-    await asyncio.to_thread(listening_port, second)
-    assert (await fetch(admins[1], calling("GET /control/ready"))).startswith(b"HTTP/1.1 200 ")
+    new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
+    assert await operators_call(new_admin, "GET /control/ready") == 200
     server.heard = answers(OK)
-    for number in range(4):  # the second box would refuse them, were it not out; the old process accepts none
-        answer = await fetch(port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
+    for number in range(4):  # s-2 would refuse them, were it not banned; the old process accepts none
+        answer = await fetch(shared.port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
     server.heard(server.peers[0])
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
     writer.close()
-    _, errors = await asyncio.to_thread(first.communicate, timeout=60)  # it has nothing left
-    assert first.returncode == 0 and "Traceback" not in errors
-    assert (await fetch(admins[1], calling("POST /control/backends/s-2/online"))).startswith(b"HTTP/1.1 200 ")
-    assert (await fetch(port, UP)).startswith(b"HTTP/1.1 200 ")
-    await stop_orderly(second)
-    os.fstat(listening.fileno())
-    with socket.create_connection((HOST, port)):  # still listens: it is the platform's
+    _, errors = await asyncio.to_thread(old.communicate, timeout=60)  # it has nothing left
+    assert old.returncode == 0 and "Traceback" not in errors
+    assert await operators_call(new_admin, "POST /control/backends/s-2/online") == 200
+    assert (await fetch(shared.port, UP)).startswith(b"HTTP/1.1 200 ")
+    await stop_orderly(new)
+    os.fstat(shared.socket.fileno())
+    with socket.create_connection((HOST, shared.port)):  # still listens: it is the platform's
         pass
-    listening.close()
+    shared.socket.close()
     server.stop()
 
 
 async def test_the_new_process_goes_on_with_the_leases_and_half_of_the_descriptors(tmp_path: Path) -> None:
     """The same in one process, to look inside."""
-    listening = socket.create_server((HOST, 0))
+    shared = SharedListener(tmp_path)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document(counter=None)))
-    env = {"EDGE_LISTEN_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
-    old, new = Ingress(load_config(str(path), env)), Ingress(load_config(str(path), env))
+    old = Ingress(load_config(str(path), shared.environment))
+    new = Ingress(load_config(str(path), shared.environment))
     top = old.listener.hard_limit
     await old.start()
     old.engine.post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
@@ -287,4 +251,4 @@
         while new.listener.hard_limit < top:
             await asyncio.sleep(0)
     await new.stop()
-    listening.close()
+    shared.socket.close()
