--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -9,7 +9,7 @@
 ADMIN_DESCRIPTORS = 12  # kept apart: operators' calls are answered however crowded the rest is
 USABLE_FRACTION = 0.92  # of the rest: a closed descriptor is free only when the loop has come round
 CLIENT_FRACTION = 0.52  # of that: a third of the limit is for requests, the rest may be idle
-CLIENT_OVERFLOW_FRACTION = 0.04  # of the limit: clients above their share, who are only told to come again
+CLIENT_OVERFLOW_FRACTION = 0.04  # of the limit: clients above their share, whose requests are rejected
 
 
 class DescriptorShare:
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -43,8 +43,8 @@
         self._read_flow = ReadFlow(queued_since)
         self._pipeline = RequestPipeline()
         self._writer = ResponseWriter()
-        self._closed_by: CloseReason | None = None  # this side, once it has
-        self._over_limit = False  # of the descriptors for requests: it is only told to come again
+        self._closed_by: CloseReason | None = None  # None while this side has not
+        self._over_limit = False  # of the descriptors for requests: its requests are rejected
         self._message_started_at = 0
         self._last_data_at = 0
         self._keep_alive = True
@@ -74,7 +74,7 @@
         self._leave_engine()
 
     def data_received(self, data: bytes) -> None:
-        """Reads what came, unless the last response has been given."""
+        """Reads the bytes, unless the last response has been written."""
         if self in self._stages.lingering:
             return
         self.reader.received_at = self._read_flow.arrival_time(self.transport, self._host.now())
@@ -83,12 +83,12 @@
             self._last_data_at = self._host.now()
 
     def message_started(self) -> None:
-        """The first byte of a request has come, and its time begins."""
+        """Starts the timeout of a request."""
         self._message_started_at = self._host.now()
         self._stages.start_head(self, self._message_started_at)
 
     def message_received(self, message: Message) -> None:
-        """A request's head has come, more of its body, or its end."""
+        """Handles a request whose head, or more of whose body, has been received."""
         if self.transport.is_closing() or self in self._stages.lingering:  # behind the last response
             message.body.release()
         elif message is self._pipeline.current:
@@ -100,13 +100,13 @@
         self._pause_reading_if_full()
 
     def protocol_error(self, error: FramingError) -> None:
-        """The client sent what cannot be read."""
+        """Rejects what cannot be read."""
         self.reject_unreadable(error.status)
 
     def reject_unreadable(self, status: int) -> None:
-        """Ends the connection over a request that cannot be read, or does not come whole.
+        """Ends the connection over a request that cannot be read, or stays incomplete.
 
-        Requests that came whole before it are answered first.
+        Complete requests before it are answered first.
         """
         self.reader.framing_lost = True
         self._pipeline.drop_incomplete()
@@ -118,16 +118,16 @@
             self._write_response(status, b"", b"not understood\n")
 
     def eof_received(self) -> None:
-        """The client has left; the connection's own end may have to wait for what it does not read."""
+        """Handles a half-close as a disconnect: unread responses may hold up the full close."""
         self._leave_engine()
 
     def pause_writing(self) -> None:
-        """The client does not read on: nothing more is answered meanwhile."""
+        """Pauses responding: the client does not read."""
         self._writer.paused = True
         self._stages.write_blocked[self] = self._host.now()
 
     def resume_writing(self) -> None:
-        """The client has read on."""
+        """Resumes responding."""
         self._writer.paused = False
         self._stages.write_blocked.pop(self, None)
         self._forward_response_body()
@@ -137,12 +137,12 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether some of a request has come that is not answered."""
+        """Whether a request has begun and is not answered."""
         open_request = bool(self._pipeline.waiting) or self.reader.in_message or self._has_request_in_hand
         return open_request and self not in self._stages.lingering
 
     def is_too_slow(self, now: int) -> bool:
-        """Whether a body comes more slowly than any client sends, or comes no more."""
+        """Whether a body arrives more slowly than any client sends, or has stopped."""
         current = self._pipeline.current
         if current is None or self._read_flow.paused:
             return False
@@ -183,7 +183,7 @@
     # For the engine: the response.
 
     def disconnected(self) -> bool:
-        """Whether the client has left, by what the socket tells now."""
+        """Returns whether the client has left, as the socket shows now."""
         return self.transport.is_closing() or peer_has_left(self.transport)
 
     def respond(self, answer: AttemptResult) -> None:
@@ -199,7 +199,7 @@
         is_http_1_0 = current is not None and current.is_http_1_0
         body.chunked = body.declared_length is None and not is_http_1_0
         if is_http_1_0 and body.declared_length is None:
-            self._keep_alive = False  # only the connection's end tells HTTP/1.0 where it ends
+            self._keep_alive = False  # in HTTP/1.0 only the connection's end marks its end
         self._keep_alive = self._can_keep_alive()
         self._writer.start_stream(body)
         head = response.encode_stream_head(answer.content_type, body, self._keep_alive)
@@ -241,7 +241,7 @@
         return not self._has_request_in_hand and self not in self._stages.write_blocked
 
     def _more_has_come(self) -> bool:
-        """Whether anything came behind the request in hand: read, about to be told, or still unread."""
+        """Returns whether anything follows the request in hand: read, about to be delivered, or unread."""
         if self._pipeline.waiting or self._more_messages:
             return True
         return not self.transport.is_closing() and unread_bytes(self.transport) > 0
@@ -287,7 +287,7 @@
         parsed = self._pipeline.parsed
         if parsed is None or not (body.complete or must_be_streamed(body)):
             return
-        if peer_has_left(self.transport):  # while this waited: to be accepted, or behind another request
+        if peer_has_left(self.transport):  # while the request waited in the accept queue or the pipeline
             self._abort_as_client_left()
             return
         parsed.received_at = message.completed_at if body.complete else self._host.now()
@@ -307,12 +307,12 @@
             self._engine.on_disconnect(request_id)
 
     def _release_requests(self) -> None:
-        """Frees all that came: nobody will read it."""
+        """Frees all requests: nobody will read them."""
         self._pipeline.release_all()
         self._stages.receiving_body.discard(self)
 
     def _resume(self) -> None:
-        """Goes on with what has come, but not while the client leaves its responses unread."""
+        """Goes on with the pipeline, but not while the client leaves its responses unread."""
         if self.transport.is_closing() or self in self._stages.lingering or not self._is_free:
             return
         if self._pipeline.waiting:
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -146,7 +146,7 @@
             await self._acceptor.drain_queue(until, CAPACITY_CHECK_INTERVAL_S)
 
     def close_remaining(self) -> None:
-        """Ends what has no request open: the silent are closed, those in the middle of a head are told."""
+        """Ends what has no request open: the silent are closed, those in the middle of a head get a 408."""
         for connection in list(self.connections):
             if connection.is_busy and connection.is_stalled(self.now()):
                 connection.reject_unreadable(REQUEST_TIMEOUT_STATUS)
--- a/quota_ingress/net/downstream/pipeline.py
+++ b/quota_ingress/net/downstream/pipeline.py
@@ -1,4 +1,4 @@
-"""The requests that have come on one client connection, in their order."""
+"""The requests of one client connection, in their order."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """One request in hand, and those that wait behind it.
 
     Attributes:
-        waiting: Requests whose head has come, behind the one in hand.
-        current: The request in hand; its body may still be coming.
+        waiting: Requests with a complete head, behind the one in hand.
+        current: The request in hand; its body may be incomplete.
         parsed: What has been read of its head, once that has been found valid.
         engine_request_id: Its id, while the engine works on it.
     """
@@ -36,12 +36,12 @@
 
     @property
     def current_is_complete(self) -> bool:
-        """Whether the request in hand, if there is one, has come whole."""
+        """Whether the request in hand, if there is one, is complete."""
         return self.current is None or self.current.body.complete
 
     @property
     def engine_has_complete_request(self) -> bool:
-        """Whether the engine works on a request that has come whole."""
+        """Whether the engine works on a complete request."""
         return self.engine_request_id is not None and self.current_is_complete
 
     def is_full(self) -> bool:
@@ -66,7 +66,7 @@
         self.parsed = None
 
     def drop_incomplete(self) -> None:
-        """Drops the last request that waits, if it will not come whole."""
+        """Drops the last request that waits, if it is incomplete and will stay so."""
         if self.waiting and not self.waiting[-1].body.complete:
             self.waiting.pop().body.release()
 
@@ -78,7 +78,7 @@
         self.finish_current()
 
     def count_unanswered(self) -> int:
-        """Counts the requests that came whole and have no response."""
+        """Counts the complete requests that have no response."""
         return int(self.engine_has_complete_request) + sum(m.body.complete for m in self.waiting)
 
     def _exceeds(self, max_requests: int, max_body_bytes: int) -> bool:
--- a/quota_ingress/net/downstream/process_delay.py
+++ b/quota_ingress/net/downstream/process_delay.py
@@ -1,4 +1,4 @@
-"""Tells a process that was held up by the machine from one that was busy."""
+"""Distinguishes a process that was held up by the machine from one that was busy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ProcessDelayMonitor:
-    """Notes in the event log when a periodic call comes late, with the processor time that was used."""
+    """Notes in the event log when a periodic call is late, with the processor time that was used."""
 
     def __init__(self, event_log: EventLog, interval_us: int) -> None:
         self._event_log = event_log
@@ -20,7 +20,7 @@
         self._last_cpu_s = 0.0
 
     def note_call(self, now: int) -> None:
-        """Takes in that the periodic call has come at the moment `now` (us)."""
+        """Notes the periodic call at the moment `now` (us)."""
         cpu_s = time.process_time()
         if self._last_call_at is not None:
             late = now - self._last_call_at - self._interval_us
--- a/quota_ingress/net/downstream/read_flow.py
+++ b/quota_ingress/net/downstream/read_flow.py
@@ -1,4 +1,4 @@
-"""Pauses and resumes reading from a client, and tells when what is read had come."""
+"""Pauses and resumes reading from a client, and dates what is read by its arrival."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     def __init__(self, queued_since: int | None) -> None:
         """Starts unpaused; `queued_since`: since when the connection may have waited to be accepted."""
         self._queued_since = queued_since
-        self._catching_up = False  # what came during a pause is not all read yet
+        self._catching_up = False  # what arrived during a pause is not all read yet
         self.paused = False
         self.paused_at = 0
 
     def arrival_time(self, transport: asyncio.Transport, now: int) -> int:
-        """Returns when the data that has just been read came to this machine, at the earliest.
+        """Returns when the data that has just been read arrived at this machine, at the earliest.
 
         It may have waited while reading was paused, or for the connection to be accepted.
         """
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -25,7 +25,7 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that is invalid. `status` is the 4xx that tells the client so, with the message."""
+    """A request that is invalid. `status` is the 4xx of the response that carries the message."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -52,7 +52,7 @@
         self._needs_key = [c.idempotency is Idempotency.WITH_KEY for c in settings.classes]
 
     def parse(self, message: Message) -> ParsedRequest:
-        """Returns the client's request; its body may still be coming.
+        """Returns the client's request; its body may be incomplete.
 
         Raises:
             InvalidRequestError: It is not as the protocol requires.
--- a/quota_ingress/net/downstream/response.py
+++ b/quota_ingress/net/downstream/response.py
@@ -47,7 +47,7 @@
 
 
 def encode_stream_head(content_type: bytes, body: Body, keep_alive: bool) -> bytes:
-    """Returns the head of a response whose body follows as it comes."""
+    """Returns the head of a response whose body is streamed."""
     framing = b""
     if body.chunked:
         framing = b"Transfer-Encoding: chunked\r\n"
--- a/quota_ingress/net/downstream/response_writer.py
+++ b/quota_ingress/net/downstream/response_writer.py
@@ -14,7 +14,7 @@
 
     WAITING = auto()  # for more of it, or for the client to read on
     COMPLETE = auto()
-    TRUNCATED = auto()  # its end will never come
+    TRUNCATED = auto()  # its end will never be received
 
 
 class ResponseWriter:
@@ -45,7 +45,7 @@
         self._offset = 0
 
     def forward(self, transport: asyncio.Transport) -> StreamState:
-        """Writes on the body as far as it has come and as the client reads it."""
+        """Writes on the body as far as it has been received and as the client reads it."""
         while (body := self.body) and not self.paused and not transport.is_closing():
             if body.truncated:
                 return StreamState.TRUNCATED
--- a/quota_ingress/net/downstream/socket_state.py
+++ b/quota_ingress/net/downstream/socket_state.py
@@ -15,7 +15,7 @@
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Returns how many bytes have come that the loop has not read."""
+    """Returns how many received bytes the loop has not read."""
     return _ioctl(transport, termios.FIONREAD)
 
 
@@ -25,9 +25,9 @@
 
 
 def time_since_last_data_us(transport: asyncio.Transport) -> int | None:
-    """Returns the microseconds since the last data came, as the kernel counts in milliseconds.
+    """Returns the microseconds since data was last received, as the kernel counts in milliseconds.
 
-    None where the kernel does not tell.
+    None where the kernel does not know.
     """
     try:
         sock = transport.get_extra_info("socket")
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -12,10 +12,10 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether some of a request has come that is not answered."""
+        """Whether a request has begun and is not answered."""
 
     def is_too_slow(self, now: int) -> bool:
-        """Whether a body comes more slowly than any client sends, or comes no more."""
+        """Whether a body arrives more slowly than any client sends, or has stopped."""
 
     def is_stalled(self, before: int) -> bool:
         """Whether it began a head, and has sent nothing more since before that moment."""
@@ -24,7 +24,7 @@
         """Notes whether the client has read on since the last call."""
 
     def reject_unreadable(self, status: int) -> None:
-        """Ends it over a request that cannot be read, or does not come whole."""
+        """Ends it over a request that cannot be read, or stays incomplete."""
 
     def close_if_idle(self, reason: CloseReason = CloseReason.IDLE) -> bool:
         """Closes it between requests, but not if one waits unread. Returns whether it did."""
@@ -39,18 +39,18 @@
 class ConnectionStages:
     """All open connections, by stage.
 
-    Mappings tell the moment (us) since when a connection is in a stage, the longest first. A connection is in
+    Mappings hold the moment (us) since when a connection is in a stage, the longest first. A connection is in
     at most one of `awaiting_first_request`, `receiving_head` and `idle`; while a request is open, in none of
     them, but for a first request that has not been found valid yet.
 
     Attributes:
         open: All connections.
-        awaiting_first_request: No valid request has come yet.
+        awaiting_first_request: No valid request has been received yet.
         receiving_head: A further request has begun, and its head is incomplete.
         idle: Between requests, with nothing of the next one received.
         receiving_body: A request's head is complete, and its body is not.
         write_blocked: The client does not read what it is sent.
-        lingering: Has had its last response; what still comes is thrown away.
+        lingering: Has had its last response; what is still received is discarded.
     """
 
     def __init__(self) -> None:
@@ -63,12 +63,12 @@
         self.lingering: dict[StagedConnection, int] = {}
 
     def add(self, connection: StagedConnection, now: int) -> None:
-        """Takes in a connection that is up."""
+        """Adds a connection that is up."""
         self.open.add(connection)
         self.awaiting_first_request[connection] = now
 
     def remove(self, connection: StagedConnection) -> None:
-        """Takes out a connection that has ended."""
+        """Removes a connection that has ended."""
         self.open.discard(connection)
         self.receiving_body.discard(connection)
         self.leave_quiet_stages(connection)
@@ -76,7 +76,7 @@
         self.lingering.pop(connection, None)
 
     def start_head(self, connection: StagedConnection, now: int) -> None:
-        """The first byte of a request has come."""
+        """Moves an idle connection on: the next request has begun."""
         if self.idle.pop(connection, None) is not None:
             self.receiving_head[connection] = now
 
@@ -86,7 +86,7 @@
         self.idle.pop(connection, None)
 
     def accept_first_request(self, connection: StagedConnection) -> None:
-        """A valid request has come."""
+        """The first valid request has been received."""
         self.awaiting_first_request.pop(connection, None)
 
     def wait_for_head(self, connection: StagedConnection, now: int) -> None:
@@ -95,7 +95,7 @@
         self.awaiting_first_request.pop(connection, None)
 
     def park_idle(self, connection: StagedConnection, now: int, max_idle: int) -> None:
-        """A request has had its response, and nothing of the next one has come.
+        """A request has had its response, and nothing of the next one has been received.
 
         Closes the longest idle connection if there are more than `max_idle`.
         """
--- a/quota_ingress/net/downstream/timeouts.py
+++ b/quota_ingress/net/downstream/timeouts.py
@@ -9,8 +9,8 @@
 IDLE_TIMEOUT_S = 2.0  # between requests: clients have only so many connections at once
 DRAINING_IDLE_TIMEOUT_S = 0.25  # the same while draining; by then its last response has surely been read
 MIN_BODY_BYTES_PER_S = 32_000  # a body has a second more for every so many bytes
-BODY_STALL_TIMEOUT_S = 2.0  # without a byte of a body, however fast it came until then
-LINGER_TIMEOUT_S = 1.0  # for a client to go on sending after its last response, so that it comes to read that
+BODY_STALL_TIMEOUT_S = 2.0  # without a byte of a body, however fast it arrived until then
+LINGER_TIMEOUT_S = 1.0  # for a client to go on sending after its last response, so that it reads that first
 UNREAD_TIMEOUT_S = 4.0  # without a byte read by the client, while a response waits for it
 REQUEST_TIMEOUT_STATUS = 408
 US_PER_S = 1_000_000
@@ -33,7 +33,7 @@
 
 
 def is_body_too_slow(received: int, started_at: int, last_data_at: int, now: int) -> bool:
-    """Returns whether a body comes more slowly than any client sends, or comes no more.
+    """Returns whether a body arrives more slowly than any client sends, or has stopped.
 
     `received` counts its bytes; moments are us.
     """
--- a/quota_ingress/net/http/__init__.py
+++ b/quota_ingress/net/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages off a connection, within limits: what the clients' side and the backends' side share."""
+"""HTTP/1.1 messages read from connections, within limits, for the downstream and the upstream side."""
 
 from quota_ingress.net.http.body import BODY_BUFFER_BYTES, Body, EncodedPart
 from quota_ingress.net.http.connection import WRITE_BUFFER_BYTES, HttpConnection, limit_socket_buffers
--- a/quota_ingress/net/http/body.py
+++ b/quota_ingress/net/http/body.py
@@ -23,7 +23,7 @@
 
 
 class Body:
-    """A body as it comes: the bytes received, without those that have been discarded.
+    """The bytes of a body that have been received and not discarded.
 
     The receiving side appends and is called back by `on_drained`; the sending side reads, discards, and is
     called back by `on_update`. Offsets count bytes from the start of the body.
@@ -46,15 +46,15 @@
     def __init__(self, budget: MemoryBudget) -> None:
         self.budget = budget
         self.data = bytearray()
-        self.declared_length: int | None = 0  # None: it ends with its last chunk, or with its connection
+        self.declared_length: int | None = 0  # None: ends with the last chunk, or with the connection
         self.received = 0
         self.discarded = 0
         self.complete = False
-        self.truncated = False  # its end will never come
+        self.truncated = False  # its end will never be received
         self.released = False  # nobody reads it any more
         self.chunked = False  # it is forwarded in chunks
-        self.on_update: Callable[[], object] = _do_nothing  # more has come, its end, or a break
-        self.on_drained: Callable[[], object] = _do_nothing  # some has been discarded
+        self.on_update: Callable[[], object] = _do_nothing  # on more bytes, the end, or truncation
+        self.on_drained: Callable[[], object] = _do_nothing  # on a discard
 
     @property
     def buffered(self) -> int:
@@ -88,7 +88,7 @@
             self.on_drained()
 
     def release(self) -> None:
-        """Frees all that is buffered; what still comes is not kept."""
+        """Frees all that is buffered; what is still received is only counted."""
         if not self.released:
             self.released = True
             self.budget.used -= len(self.data)
@@ -99,7 +99,7 @@
         self.on_drained = _do_nothing
 
     def truncate(self) -> None:
-        """Notes that its end will never come, unless it has."""
+        """Notes that its end will never be received, unless it has been."""
         if not self.complete:
             self.truncated = True
             self.on_update()
--- a/quota_ingress/net/http/connection.py
+++ b/quota_ingress/net/http/connection.py
@@ -23,9 +23,9 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """Reads messages and tells each to `message_received` once the parser has returned.
+    """Reads messages, and delivers each to `message_received` once the parser has returned.
 
-    An error in handling a message is so never mistaken for an error in parsing it. Subclasses implement
+    So an error in handling a message is never mistaken for an error in parsing it. Subclasses implement
     `message_received` and `protocol_error`.
     """
 
@@ -34,29 +34,29 @@
     def __init__(self, reader: MessageReader) -> None:
         self.reader = reader
         reader.on_message_started = self.message_started
-        self._more_messages = False  # further ones came in the same read as the one that is told now
+        self._more_messages = False  # the same read holds further ones behind the one being delivered
 
     def message_received(self, message: Message) -> None:
-        """A message's head has come, more of its body, or its end."""
+        """Handles a message whose head, or more of whose body, has been received."""
         raise NotImplementedError
 
     def protocol_error(self, error: FramingError) -> None:
-        """The other side sent what cannot be read; nothing more is read from it."""
+        """Handles bytes that cannot be read; nothing behind them is read."""
         raise NotImplementedError
 
     def message_started(self) -> None:
-        """The first byte of a message has come. Does nothing here."""
+        """Handles the first byte of a message; does nothing by default."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Drops the parser."""
         self.reader.close()
 
     def data_received(self, data: bytes) -> None:
-        """Reads what has come, unless it follows an error."""
+        """Reads the bytes, unless they follow an error."""
         if self.reader.framing_lost:
             return
         try:
--- a/quota_ingress/net/http/message_reader.py
+++ b/quota_ingress/net/http/message_reader.py
@@ -1,7 +1,7 @@
 """Reads HTTP/1.1 messages from the bytes of a connection, without I/O.
 
-A message is reported as soon as its head has come; its body follows as it comes. Limits hold for heads,
-trailers and the bodies of requests. Those of responses have no limit, as they are forwarded as they come.
+A message is delivered once its head is complete, and again whenever more of its body has been received.
+Limits hold for heads, trailers and the bodies of requests; those of responses are streamed, so they have none.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Message:
-    """A request (`method`, `target`) or a response (`status`): its head, and its body as it comes."""
+    """A request (`method`, `target`) or a response (`status`): its head, and its body as it is received."""
 
     __slots__ = (
         "body",
@@ -54,7 +54,7 @@
     )
 
     def __init__(self, budget: MemoryBudget) -> None:
-        self.completed_at = 0  # us: when its last byte came to this machine; 0 until then
+        self.completed_at = 0  # us: when its last byte arrived at this machine; 0 until then
         self.method = b""
         self.target = b""
         self.status = 0
@@ -83,9 +83,9 @@
         self._replaying_head = False
         self._body_after_upgrade = False
         self.message = Message(budget)  # the one that is being read, or the last one
-        self.in_message = False  # some of a message has come, and not its end
+        self.in_message = False  # a message has begun and is incomplete
         self.framing_lost = False
-        self.received_at = 0  # us: when the bytes that are being read came; set by the owner
+        self.received_at = 0  # us: when the bytes being read arrived; set by the owner
         self.on_message_started: Callable[[], None] = _do_nothing
 
     def feed(self, data: bytes) -> None:
@@ -108,7 +108,7 @@
             raise
 
     def take_updated(self) -> list[Message]:
-        """Returns the messages of which something has come since the last call, in order."""
+        """Returns the messages that have been read or extended since the last call, in order."""
         updated = self._updated
         self._updated = []
         return updated
@@ -169,7 +169,7 @@
     # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """The first byte of a message has come."""
+        """Starts a message."""
         if self._replaying_head:
             return
         self.message = Message(self._budget)
@@ -179,7 +179,7 @@
         self.on_message_started()
 
     def on_url(self, part: bytes) -> None:
-        """Some of a request's target has come."""
+        """Adds to a request's target."""
         if self._replaying_head:
             return
         self.message.target += part
@@ -187,7 +187,7 @@
             self._reject(431, "the target is too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head or of the trailer has come; one of the trailer must not pass for a header."""
+        """Adds a field of the head; one of the trailer only counts, as it must not pass for a header."""
         if self._replaying_head:
             return
         self._field_bytes += len(name) + len(value) + FIELD_OVERHEAD_BYTES
@@ -204,7 +204,7 @@
         headers[name] = value if before is None else before + b", " + value
 
     def on_headers_complete(self) -> None:
-        """The head has come whole."""
+        """Completes the head."""
         if self._replaying_head:
             return
         assert self._parser is not None
@@ -221,7 +221,7 @@
         self._note_update()
 
     def on_body(self, part: bytes) -> None:
-        """Some of the body has come."""
+        """Adds to the body."""
         body = self.message.body
         body.append(part)
         if body.received > self.max_body_bytes:
@@ -229,7 +229,7 @@
         self._note_update()
 
     def on_message_complete(self) -> None:
-        """The last byte of a message has come."""
+        """Completes the message."""
         if not self._body_after_upgrade:
             self._complete()
 
--- a/quota_ingress/net/upstream/connection.py
+++ b/quota_ingress/net/upstream/connection.py
@@ -50,7 +50,7 @@
 class UpstreamConnection(HttpConnection):
     """One connection to a backend.
 
-    It uses the socket beside the transport: a send tells how much was written, a peek tells whether the
+    It uses the socket beside the transport: a send returns how much was written, a peek shows whether the
     connection is alive, and closing takes effect before anything else is sent.
     """
 
@@ -70,7 +70,7 @@
         self._read_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Sets the limit of the write buffer."""
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
@@ -103,7 +103,7 @@
             self.forward_body()
 
     def forward_body(self) -> None:
-        """Writes the request's body as far as it has come and as the backend takes it.
+        """Writes the request's body as far as it has been received and as the backend takes it.
 
         One that was complete when it was first sent is kept, for another attempt.
         """
@@ -126,16 +126,16 @@
                 body.discard(part.end)
 
     def pause_writing(self) -> None:
-        """The backend does not take more for now."""
+        """Pauses writing: the backend does not take more for now."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """The backend takes more again."""
+        """Resumes writing."""
         self._write_paused = False
         self.forward_body()
 
     def is_alive(self) -> bool:
-        """Whether the backend has neither ended the connection nor sent what nobody asked for."""
+        """Returns whether the backend has neither ended the connection nor sent unsolicited data."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -176,7 +176,7 @@
             exchange.fail()
 
     def is_stalled(self, since: float) -> bool:
-        """Whether the backend has neither taken nor given any byte of a body since, though it could have."""
+        """Returns whether no byte of a body has moved since, though the backend could have moved it."""
         exchange = self.exchange
         if exchange is None or exchange.last_progress_at >= since or self._read_paused:
             return False
@@ -184,7 +184,7 @@
         return body_untaken or self.stream is not None
 
     def message_received(self, message: Message) -> None:
-        """A response's head has come, more of its body, or its end."""
+        """Handles a response whose head, or more of whose body, has been received."""
         exchange = self.exchange
         body = message.body
         if 100 <= message.status < 200 and exchange:
@@ -197,7 +197,7 @@
         elif body.is_long and message.status == 200 and exchange and exchange.on_stream_started:
             if body.received:
                 self._start_stream(message, exchange, exchange.on_stream_started)
-        elif body.is_long:  # nobody wants to know how it goes on
+        elif body.is_long:  # a long response that nobody streams
             result = AttemptResult(Outcome.ERROR) if message.status == 200 else _result_of(message)
             self.fail_exchange(UpstreamCloseReason.UNWANTED, result)
 
@@ -211,7 +211,7 @@
         self.complete_at_eof()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Fails the attempt that it carries, if there is one."""
         super().connection_lost(exc)
         unanswered = not (self.reader.in_message or self.reader.framing_lost)
         if self.reused and self.exchange and unanswered:
@@ -250,7 +250,7 @@
             exchange.finish(result)
 
     def _is_reusable_after(self, message: Message, exchange: Exchange) -> bool:
-        """Whether the next response can surely be told from this one.
+        """Returns whether the next response can be distinguished from this one.
 
         It cannot where the backend answered before it had read the whole request, or sent more than one
         response: a copy right behind it would be taken for the next request's.
--- a/quota_ingress/net/upstream/exchange.py
+++ b/quota_ingress/net/upstream/exchange.py
@@ -34,8 +34,8 @@
 class Exchange:
     """An attempt: waits for its connection, is written, is answered. Ends once.
 
-    `head` is written first, then what `authorize` returns, then `body` as it comes, if it is not part of
-    that. `on_stream_started` is called once with a response too long to be buffered; without it such a
+    `head` is written first, then what `authorize` returns, then `body` as it is received, if it is not part
+    of that. `on_stream_started` is called once with a response too long to be buffered; without it such a
     response fails.
     """
 
