--- a/quota_ingress/net/http/message_reader.py
+++ b/quota_ingress/net/http/message_reader.py
@@ -1,7 +1,7 @@
 """Reads HTTP/1.1 messages from the bytes of a connection, without I/O.
 
 A message is delivered once its head is complete, and again whenever more of its body has been received.
-Limits hold for heads, trailers and the bodies of requests; those of responses are streamed, so they have none.
+Limits hold for heads, trailers and the bodies of requests; responses are streamed, so their bodies have none.
 """
 
 from __future__ import annotations
