--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -2,10 +2,20 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
+import pytest
+
 from quota_ingress.policy.actions import Action, Reject, SendAttempt
+from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
+from quota_ingress.policy.leased_quota import LeasedQuota
+from quota_ingress.policy.outlier import SlowdownTracker
+from quota_ingress.policy.request_state import Attempt, Request
+from quota_ingress.policy.retry_policy import RetryPolicy
+from quota_ingress.policy.settings import DeduplicationScope, Idempotency
+from tests.helpers import CLASSES, SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
 
 
 def gateway(endpoint_count: int, **changes: object) -> Gateway:
@@ -37,3 +47,50 @@
         (sent,) = of(g.handle(n, arrival(n)), SendAttempt)
         assert sent.timeout >= SECOND // 2  # a third cut off many an answer
         g.handle(n, AttemptEnded(n, 0, 1, Outcome.OK, 20_000, True))
+
+
+def request_that_may_have_run(idempotency: Idempotency, scope: DeduplicationScope) -> Request:
+    """A request sent at 0 to an endpoint in zone 0 and cell 0; whether it ran there is unknown."""
+    request_class = replace(
+        CLASSES[0], idempotency=idempotency, deduplication_scope=scope, deduplication_window=SECOND
+    )
+    quota = LeasedQuota(UNLIMITED_PLANS[0], gateway_count=1, slot_duration=SECOND, now=0)
+    request = Request(arrival(1), request_class, quota, arrived_at=0, useful_until=4 * SECOND)
+    first = Endpoint(endpoint_entry(2, zone=0, cell=0))
+    request.attempts.append(Attempt(first, sent_at=0, in_flight=False))
+    return request
+
+
+@pytest.mark.parametrize(
+    ("idempotency", "scope", "zone", "cell", "now", "expected"),
+    [
+        (Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1, 1, 2 * SECOND, True),
+        (Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, 0, 0, False),
+        (Idempotency.WITH_KEY, DeduplicationScope.ALL, 1, 1, 0, True),
+        (Idempotency.WITH_KEY, DeduplicationScope.ZONE, 0, 1, 0, True),
+        (Idempotency.WITH_KEY, DeduplicationScope.ZONE, 1, 0, 0, False),
+        (Idempotency.WITH_KEY, DeduplicationScope.CELL, 1, 0, 0, True),
+        (Idempotency.WITH_KEY, DeduplicationScope.CELL, 0, 1, 0, False),
+        (Idempotency.WITH_KEY, DeduplicationScope.ALL, 0, 0, SECOND - 1001, True),  # a tick is 1000 us
+        (Idempotency.WITH_KEY, DeduplicationScope.ALL, 0, 0, SECOND - 1000, False),
+    ],
+)
+def test_what_may_have_run_is_sent_only_where_a_second_run_does_no_harm(
+    idempotency: Idempotency, scope: DeduplicationScope, zone: int, cell: int, now: int, expected: bool
+) -> None:
+    policy = RetryPolicy(settings(), SlowdownTracker(class_count=len(CLASSES), initial_limit=8.0))
+    request = request_that_may_have_run(idempotency, scope)
+    other = Endpoint(endpoint_entry(3, zone=zone, cell=cell))
+    assert policy.may_send_to(other, request, now) is expected
+    request.attempts[0].may_have_run = False
+    assert policy.may_send_to(other, request, now)
+
+
+@pytest.mark.parametrize("may_hedge", [False, True])
+def test_an_attempt_in_flight_allows_a_hedged_one_elsewhere_only(may_hedge: bool) -> None:
+    slowdowns = SlowdownTracker(class_count=len(CLASSES), initial_limit=8.0)
+    policy = RetryPolicy(settings(limits={"may_hedge": may_hedge}), slowdowns)
+    request = request_that_may_have_run(Idempotency.IDEMPOTENT, DeduplicationScope.ALL)
+    request.attempts[0].in_flight = True
+    assert not policy.may_send_to(request.attempts[0].endpoint, request, 0)
+    assert policy.may_send_to(Endpoint(endpoint_entry(3)), request, 0) is may_hedge
