--- a/ingress_testbed/faults/__init__.py
+++ b/ingress_testbed/faults/__init__.py
@@ -38,7 +38,11 @@
 
 
 def build(folder: Path) -> Path:
-    """Compiles the library into `folder`, unless it is there already; its path. FaultsError if that fails."""
+    """Compiles the library into `folder`, unless it is there already, and returns its path.
+
+    Raises:
+        FaultsError: There is no C compiler, or it fails.
+    """
     library = folder / "faults.so"
     if not library.exists():
         made = folder / f"faults-{os.getpid()}.so"
@@ -57,19 +61,20 @@
     """The faults of one process. They can be changed while it runs."""
 
     def __init__(self, library: Path, control: Path) -> None:
-        """`control`: a file that is made for it."""
-        self._library, self._path = library, control
+        """`control` is a file that is made for it; the process maps it, too."""
+        self._library = library
+        self._path = control
         size = SHIFT.size + RULE.size * len(Call)
         control.write_bytes(bytes(size))
         with control.open("r+b") as file:
             self._control = mmap.mmap(file.fileno(), size)
 
     def environment(self) -> dict[str, str]:
-        """What the process has to be started with."""
+        """Returns what the process has to be started with."""
         return {"LD_PRELOAD": str(self._library), "FAULTS_FILE": str(self._path)}
 
     def set(self, call: Call, error: int, every: int) -> None:
-        """`error`: an errno, or SHORT; it comes on each `every`-th call, 0 for none."""
+        """Lets each `every`-th call fail with `error`, an errno or SHORT; 0 for none."""
         RULE.pack_into(self._control, self._at(call), error, every, 0, 0)
 
     def clear(self) -> None:
@@ -78,14 +83,15 @@
             self.set(call, SHORT, 0)
 
     def failed(self, call: Call) -> int:
-        """How often it has failed since it was set."""
+        """Returns how often the call has failed since it was set."""
         return int(RULE.unpack_from(self._control, self._at(call))[3])
 
     def shift_wall_clock(self, seconds: float) -> None:
-        """By so much it is off from now on."""
+        """Lets the process's wall clock be off by so much from now on."""
         SHIFT.pack_into(self._control, 0, round(seconds * 1e9))
 
     def close(self) -> None:
+        """Ends the mapping; the faults stay as they are."""
         self._control.close()
 
     @staticmethod
--- a/ingress_testbed/model.py
+++ b/ingress_testbed/model.py
@@ -39,8 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The sizes that a configuration is made for. `classes` stand in for routes (the program has no others),
-    `plans` for the tenants that the settings hold.
+    """The sizes that a configuration is made for.
+
+    `classes` stand in for routes (the program has no others), `plans` for the tenants that the settings hold.
     """
 
     fleet_size: int = 1
--- a/ingress_testbed/quota_day.py
+++ b/ingress_testbed/quota_day.py
@@ -16,8 +16,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
+from typing import NamedTuple
 
 from quota_ingress.policy.actions import AddToCounter, Reject, SendAttempt, SetTimer
+from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import (
     AttemptEnded,
@@ -38,50 +40,115 @@
     Settings,
 )
 
-SECOND = 1_000_000
-EPOCH = 1_700_000_000 * SECOND  # the module names quota windows by Unix time
-ONE_WAY = (500, 2500)  # us from a gateway to the counter, with its own part of the work
-AIM, DEADLINE = 3 * SECOND, 9 * SECOND
-PLANS = (  # what it lets a customer have, and customers of each in a fleet of 200
-    (Plan("small", 0.6, 2.0, price=0.9, over_quota_cost=0.8), 750),
-    (Plan("middle", 1.8, 8.0, price=1.2, over_quota_cost=1.2), 390),
-    (Plan("large", 7.0, 10.0, price=1.4, over_quota_cost=1.2), 60),
+START = 1_700_000_000 * SECOND  # us: quota windows are named by Unix time
+COUNTER_DELAY = (500, 2500)  # us from a gateway to the counter, with its own part of the work
+LATENCY_OBJECTIVE = 3 * SECOND
+DEADLINE = 9 * SECOND
+LATENCY_FRACTION = (0.06, 0.14)  # of the objective
+ENDPOINTS = 200
+DRAIN_SECONDS = 4  # that events are played beyond the day
+REFERENCE_FLEET = 200  # gateways that PLANS counts customers for
+
+
+class PlanShare(NamedTuple):
+    """A plan, and its customers in front of the reference fleet."""
+
+    plan: Plan
+    customers: int
+
+
+PLANS = (
+    PlanShare(Plan("small", 0.6, 2.0, price=0.9, over_quota_cost=0.8), 750),
+    PlanShare(Plan("middle", 1.8, 8.0, price=1.2, over_quota_cost=1.2), 390),
+    PlanShare(Plan("large", 7.0, 10.0, price=1.4, over_quota_cost=1.2), 60),
 )
-# Customers by what they ask of their quota: part of all, from, to, and times that in a spike (0: none).
-KINDS = ((0.48, 0.3, 0.5, 0), (0.27, 0.9, 1.0, 0), (0.1, 1.9, 3.5, 0), (0.15, 0.3, 0.5, 12))
-SPIKE, SPIKES_EVERY = (1.5, 4.5), 20.0  # s
-SKEW = 1.35  # of a customer's traffic over its gateways: the n-th gets 1 / n ** SKEW
-SHIFT = 6.0  # s after which another gateway of its set is the first
-RETRIES, BACK_OFF = 2, 0.22  # of clients: how often, and after how many s
-TRY_AGAIN, HEED = 0.8, 0.63  # the part of them that does, and that waits as long as it is told
+
+
+class CustomerKind(NamedTuple):
+    """Customers by what they ask for, as fractions of their quota's rate."""
+
+    weight: float  # fraction of all customers
+    lowest: float
+    highest: float
+    spike_factor: float  # times that in a spike; 0: no spikes
+
+
+KINDS = (
+    CustomerKind(0.48, 0.3, 0.5, 0),
+    CustomerKind(0.27, 0.9, 1.0, 0),
+    CustomerKind(0.1, 1.9, 3.5, 0),
+    CustomerKind(0.15, 0.3, 0.5, 12),
+)
+SPIKE_SECONDS = (1.5, 4.5)
+MEAN_SPIKE_INTERVAL = 20.0  # s
+TRAFFIC_SKEW = 1.35  # the n-th gateway of a customer gets 1 / n ** TRAFFIC_SKEW of its traffic
+SHIFT_INTERVAL = 6.0  # s after which another gateway of its set is the first
+SHIFT_STEP = 31  # gateways by which the first one moves
+CLIENT_RETRIES = 2
+CLIENT_BACKOFF = 0.22  # s
+RETRYING_FRACTION = 0.8  # of rejected clients
+HEEDING_FRACTION = 0.63  # of those that retry: they wait as long as Retry-After says
+
+
+class Spike(NamedTuple):
+    """A span in which a customer asks for more."""
+
+    since: float  # s
+    until: float  # s
+    factor: float
+
+
+@dataclass
+class ExactBucket:
+    """A token bucket that sees everything."""
+
+    plan: Plan
+    level: float  # units
+    updated_at: float = 0.0  # s
+
+    def take(self, at: float) -> bool:
+        """Takes a unit at `at` (s) if one is there; returns whether it was."""
+        filled = self.level + self.plan.rate * (at - self.updated_at)
+        self.level = min(self.plan.burst, filled)
+        self.updated_at = at
+        is_inside = self.level >= 1
+        self.level -= is_inside
+        return is_inside
 
 
 @dataclass
 class Customer:
+    """A customer, what it asks for, and what exact buckets say of it."""
+
     number: int
-    plan: int
-    asked: float  # units a second
-    spikes: list[tuple[float, float, float]]  # from, until (s), times what is asked
-    first: int
-    spread: int
-    shifted: float  # s
-    level: float  # units in the store that sees all sends
-    level_at: float = 0.0
-    offered: float = 0.0  # the same for one gateway that saw all first tries
-    offered_at: float = 0.0
+    plan: int  # index into PLANS
+    demand_rate: float  # units a second outside of spikes
+    spikes: list[Spike]
+    first_gateway: int
+    gateway_count: int
+    shift_offset: float  # s
+    sent: ExactBucket  # sees all that the fleet sends
+    offered: ExactBucket  # sees all first requests, as one gateway would
 
     def rate(self, at: float) -> float:
-        return self.asked * next((times for since, until, times in self.spikes if since <= at < until), 1.0)
+        """Returns the units a second that it asks for at `at` (s)."""
+        factors = (spike.factor for spike in self.spikes if spike.since <= at < spike.until)
+        return self.demand_rate * next(factors, 1.0)
+
+    def highest_rate(self) -> float:
+        """Returns the most that it ever asks for, in units a second."""
+        return self.demand_rate * max((spike.factor for spike in self.spikes), default=1.0)
 
 
 @dataclass
 class Counter:
-    """Parts that serve calls in turn, `capacity` a second in all; a call that would wait longer than `line`
-    us is turned away. Names never end within a day.
+    """Parts that serve calls in turn, `capacity` a second in all.
+
+    A call that would wait longer than `max_wait` us is rejected. Names never end within a day.
     """
 
     capacity: float
-    line: int
+    max_wait: int
     parts: int = 1
     totals: dict[int, float] = field(default_factory=dict)
     free_at: list[float] = field(default_factory=list)
@@ -90,9 +157,9 @@
         self.free_at = [0.0] * self.parts
 
     def call(self, name: int, amount: float, now: int) -> tuple[int, Outcome, float]:
-        """When the answer is ready, and what it says."""
+        """Returns when the answer is ready, its outcome and the total."""
         part = name % self.parts
-        if self.free_at[part] - now > self.line:
+        if self.free_at[part] - now > self.max_wait:
             return now, Outcome.REJECTED, 0.0
         self.free_at[part] = max(now, self.free_at[part]) + self.parts * SECOND / self.capacity
         self.totals[name] = self.totals.get(name, 0.0) + amount
@@ -101,54 +168,71 @@
 
 @dataclass
 class Day:
-    """`calls_per_s`: the counter's capacity; `timeout`, `line`: us, of a call and of the counter's queue."""
+    """One day of a fleet.
+
+    Attributes:
+        calls_per_s: The counter's capacity.
+        timeout: us, of a call to the counter.
+        max_wait: us that a call waits at the counter, at the most.
+        counts: How often things happened.
+        worth: What was offered, and sent inside and beyond the quotas, by price.
+    """
 
     fleet_size: int = 200
     seconds: float = 20.0
     calls_per_s: float = 1200.0
     timeout: int = 50_000
-    line: int = 80_000
+    max_wait: int = 80_000
     seed: int = 1
     counts: Tally[str] = field(default_factory=Tally)
     worth: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))
 
     def __post_init__(self) -> None:
-        self._chance, self._order = random.Random(self.seed), itertools.count()
+        self._rng = random.Random(self.seed)
+        self._order = itertools.count()
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._now = 0
         self._numbers = itertools.count(1)
-        self._requests: dict[int, tuple[Customer, int]] = {}  # and which try of it this is
+        self._requests: dict[int, tuple[Customer, int]] = {}  # and how often it was asked before
         self._sent: set[int] = set()
-        self._counter = Counter(self.calls_per_s, self.line)
+        self._counter = Counter(self.calls_per_s, self.max_wait)
         self._weights = [0.0]
         for n in range(self.fleet_size):
-            self._weights.append(self._weights[-1] + (n + 1) ** -SKEW)
-        self._fleet = [Gateway(self._settings(me), self.seed * 10_000 + me) for me in range(self.fleet_size)]
+            self._weights.append(self._weights[-1] + (n + 1) ** -TRAFFIC_SKEW)
+        self._fleet = [
+            Gateway(self._settings(index), self.seed * 10_000 + index) for index in range(self.fleet_size)
+        ]
 
-    def _settings(self, me: int) -> Settings:
+    def _settings(self, gateway: int) -> Settings:
         return Settings(
-            gateway_index=me,
+            gateway_index=gateway,
             fleet_size=self.fleet_size,
             zone=0,
             tick=1000,
-            classes=(RequestClass("read", AIM, DEADLINE, Idempotency.IDEMPOTENT),),
-            plans=tuple(plan for plan, _ in PLANS),
+            classes=(RequestClass("read", LATENCY_OBJECTIVE, DEADLINE, Idempotency.IDEMPOTENT),),
+            plans=tuple(share.plan for share in PLANS),
             limits=Limits(max_attempts=6, may_cancel=True, max_retry_after=2 * SECOND),
             safety=Safety(8_000, 500_000, 0.15, 17 * SECOND, 2.0, SECOND),
             counter=CounterLimits(True, self.timeout, 0.005),
         )
 
     def play(self) -> dict[str, float]:
-        """Shares of what one gateway that saw all would let in, by worth; rates are a second."""
-        for me in range(self.fleet_size):
-            boxes = [ListedEndpoint(n, EndpointState.READY, 0, 0, 0, 1.0, 0) for n in range(1, 201)]
-            self._handle(me, EndpointsListed(ListKind.FULL, 1, tuple(boxes)))
+        """Returns fractions of what one gateway that saw all would admit, by worth; rates are a second."""
+        endpoints = tuple(
+            ListedEndpoint(n, EndpointState.READY, 0, 0, 0, 1.0, 0) for n in range(1, ENDPOINTS + 1)
+        )
+        for gateway in range(self.fleet_size):
+            self._handle(gateway, EndpointsListed(ListKind.FULL, 1, endpoints))
         for customer in self._customers():
             self._ask_next(customer, 0.0)
-        while self._events and self._events[0][0] < (self.seconds + 4) * SECOND:
-            self._now, _, what = heapq.heappop(self._events)
-            what()
-        offered, count = max(1e-9, self.worth["offered"]), self.counts
+        while self._events and self._events[0][0] < (self.seconds + DRAIN_SECONDS) * SECOND:
+            self._now, _, callback = heapq.heappop(self._events)
+            callback()
+        return self._figures()
+
+    def _figures(self) -> dict[str, float]:
+        offered = max(1e-9, self.worth["offered"])
+        count = self.counts
         return {
             "inside_part": self.worth["inside"] / offered,
             "over_quota_part": self.worth["over"] / offered,
@@ -156,107 +240,139 @@
             "unheard_part": 1 - count["asks"] / max(1, count["tries"]),
             "tries_per_s_n": count["tries"] / self.seconds,
             "calls_per_s_n": count["calls"] / self.seconds,
-            "turned_away_per_s_n": count["turned away"] / self.seconds,
+            "turned_away_per_s_n": count["rejected calls"] / self.seconds,
             "given_back_per_s_n": count["given back"] / self.seconds,
         }
 
     def _customers(self) -> list[Customer]:
-        found, draw = [], self._chance
-        for plan, (what, many) in enumerate(PLANS):
-            for _ in range(round(many * self.fleet_size / 200)):
-                _, low, high, spike = draw.choices(KINDS, [k[0] for k in KINDS])[0]
-                at, spikes = draw.uniform(-3, SPIKES_EVERY), []
-                while spike and at < self.seconds:
-                    until = at + draw.uniform(*SPIKE)
-                    spikes.append((at, until, float(spike)))
-                    at = until + draw.expovariate(1 / SPIKES_EVERY)
-                spread = max(2, round(self.fleet_size * draw.uniform(0.5, 1.0)))
-                first, number = draw.randrange(self.fleet_size), draw.getrandbits(33)
-                asked, shifted = what.rate * draw.uniform(low, high), draw.uniform(0, SHIFT)
-                one = Customer(number, plan, asked, spikes, first, spread, shifted, what.burst)
-                one.offered = what.burst
-                found.append(one)
-        return found
-
-    def _at(self, when: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (max(self._now + 1, int(when)), next(self._order), what))
+        return [
+            self._draw_customer(plan)
+            for plan, share in enumerate(PLANS)
+            for _ in range(round(share.customers * self.fleet_size / REFERENCE_FLEET))
+        ]
+
+    def _draw_customer(self, plan_index: int) -> Customer:
+        rng = self._rng
+        plan = PLANS[plan_index].plan
+        kind = rng.choices(KINDS, [k.weight for k in KINDS])[0]
+        spikes = self._draw_spikes(kind)
+        gateway_count = max(2, round(self.fleet_size * rng.uniform(0.5, 1.0)))
+        first_gateway = rng.randrange(self.fleet_size)
+        number = rng.getrandbits(33)
+        demand_rate = plan.rate * rng.uniform(kind.lowest, kind.highest)
+        return Customer(
+            number=number,
+            plan=plan_index,
+            demand_rate=demand_rate,
+            spikes=spikes,
+            first_gateway=first_gateway,
+            gateway_count=gateway_count,
+            shift_offset=rng.uniform(0, SHIFT_INTERVAL),
+            sent=ExactBucket(plan, plan.burst),
+            offered=ExactBucket(plan, plan.burst),
+        )
+
+    def _draw_spikes(self, kind: CustomerKind) -> list[Spike]:
+        rng = self._rng
+        spikes = []
+        at = rng.uniform(-3, MEAN_SPIKE_INTERVAL)
+        while kind.spike_factor and at < self.seconds:
+            until = at + rng.uniform(*SPIKE_SECONDS)
+            spikes.append(Spike(at, until, float(kind.spike_factor)))
+            at = until + rng.expovariate(1 / MEAN_SPIKE_INTERVAL)
+        return spikes
+
+    def _at(self, moment: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (max(self._now + 1, int(moment)), next(self._order), callback))
 
     def _ask_next(self, customer: Customer, at: float) -> None:
-        """The next first try, by thinning: drawn at the highest rate, kept as likely as the rate then is."""
-        highest = customer.asked * max((times for _, _, times in customer.spikes), default=1.0)
-        while (at := at + self._chance.expovariate(highest)) < self.seconds:
-            if self._chance.random() * highest < customer.rate(at):
+        """Draws the next first request by thinning: at the highest rate, kept by what the rate then is."""
+        highest = customer.highest_rate()
+        while (at := at + self._rng.expovariate(highest)) < self.seconds:
+            if self._rng.random() * highest < customer.rate(at):
                 self._at(at * SECOND, partial(self._arrive, customer, 0))
                 self._at(at * SECOND, partial(self._ask_next, customer, at))
                 return
 
-    def _arrive(self, customer: Customer, tried: int) -> None:
-        plan, at = PLANS[customer.plan][0], self._now / SECOND
-        if tried == 0:
-            filled = customer.offered + plan.rate * (at - customer.offered_at)
-            customer.offered, customer.offered_at = min(plan.burst, filled), at
-            if customer.offered >= 1:
-                customer.offered -= 1
-                self.worth["offered"] += plan.price
-        which = bisect.bisect(self._weights, self._chance.random() * self._weights[customer.spread]) - 1
-        shifts = int((at + customer.shifted) / SHIFT) * 31
-        gateway = (customer.first + (which + shifts) % customer.spread) % self.fleet_size
+    def _arrive(self, customer: Customer, retries: int) -> None:
+        at = self._now / SECOND
+        if retries == 0 and customer.offered.take(at):
+            self.worth["offered"] += PLANS[customer.plan].plan.price
+        gateway = self._draw_gateway(customer, at)
         number = next(self._numbers)
-        self._requests[number] = customer, tried
+        self._requests[number] = customer, retries
         self.counts["tries"] += 1
-        wish = RequestArrived(
-            number, 0, customer.plan, customer.number, 1.0, DEADLINE, customer.first, customer.spread
+        request = RequestArrived(
+            request=number,
+            request_class=0,
+            plan=customer.plan,
+            customer=customer.number,
+            units=1.0,
+            time_left=DEADLINE,
+            first_gateway=customer.first_gateway,
+            gateway_count=customer.gateway_count,
         )
-        self._handle(gateway, wish)
+        self._handle(gateway, request)
+
+    def _draw_gateway(self, customer: Customer, at: float) -> int:
+        drawn = self._rng.random() * self._weights[customer.gateway_count]
+        position = bisect.bisect(self._weights, drawn) - 1
+        shifts = int((at + customer.shift_offset) / SHIFT_INTERVAL) * SHIFT_STEP
+        position = (position + shifts) % customer.gateway_count
+        return (customer.first_gateway + position) % self.fleet_size
 
     def _handle(self, gateway: int, event: Event) -> None:
-        for action in self._fleet[gateway].handle(EPOCH + self._now, event):
+        for action in self._fleet[gateway].handle(START + self._now, event):
             match action:
-                case SendAttempt(number, box):
-                    self._send(gateway, number, box)
-                case Reject(number, wait):
-                    self._refused(number, wait)
+                case SendAttempt(number, endpoint):
+                    self._send(gateway, number, endpoint)
+                case Reject(number, retry_after):
+                    self._on_rejected(number, retry_after)
                 case SetTimer(token, at):
-                    self._at(at - EPOCH, partial(self._handle, gateway, TimerFired(token)))
+                    self._at(at - START, partial(self._handle, gateway, TimerFired(token)))
                 case AddToCounter(name, amount):
                     self.counts["calls"] += 1
                     self.counts["asks" if amount > 0 else "given back"] += 1
-                    arrives = self._now + self._chance.randint(*ONE_WAY)
-                    self._at(arrives, partial(self._called, gateway, name, amount, self._now))
+                    arrives_at = self._now + self._rng.randint(*COUNTER_DELAY)
+                    self._at(arrives_at, partial(self._call_counter, gateway, name, amount, self._now))
 
-    def _called(self, gateway: int, name: int, amount: float, began: int) -> None:
-        ready, outcome, total = self._counter.call(name, amount, self._now)
-        self.counts["turned away"] += outcome is Outcome.REJECTED
-        back = ready + self._chance.randint(*ONE_WAY)
-        told = CounterAnswered(name, outcome, total, back - began)
-        self._at(back, partial(self._handle, gateway, told))
+    def _call_counter(self, gateway: int, name: int, amount: float, called_at: int) -> None:
+        ready_at, outcome, total = self._counter.call(name, amount, self._now)
+        self.counts["rejected calls"] += outcome is Outcome.REJECTED
+        answered_at = ready_at + self._rng.randint(*COUNTER_DELAY)
+        answer = CounterAnswered(name, outcome, total, answered_at - called_at)
+        self._at(answered_at, partial(self._handle, gateway, answer))
 
-    def _send(self, gateway: int, number: int, box: int) -> None:
+    def _send(self, gateway: int, number: int, endpoint: int) -> None:
         customer, _ = self._requests[number]
-        plan, at = PLANS[customer.plan][0], self._now / SECOND
         if number not in self._sent:
             self._sent.add(number)
-            filled = customer.level + plan.rate * (at - customer.level_at)
-            customer.level, customer.level_at = min(plan.burst, filled), at
-            inside = customer.level >= 1
-            customer.level -= inside
-            self.counts["sent"] += 1
-            self.counts["beyond"] += not inside
-            self.worth["inside" if inside else "over"] += plan.price * (1 if inside else plan.over_quota_cost)
-        took = int(AIM * self._chance.uniform(0.06, 0.14))
-        ended = AttemptEnded(number, 0, box, Outcome.OK, took, True)
-        self._at(self._now + took, partial(self._handle, gateway, ended))
-
-    def _refused(self, number: int, wait: int) -> None:
-        customer, tried = self._requests.pop(number)
-        if tried < RETRIES and self._chance.random() < TRY_AGAIN:
-            heeds = wait and self._chance.random() < HEED
-            back = (wait / SECOND if heeds else BACK_OFF) * self._chance.uniform(0.9, 1.1)
-            self._at(self._now + back * SECOND, partial(self._arrive, customer, tried + 1))
+            self._count_sent(customer)
+        latency = int(LATENCY_OBJECTIVE * self._rng.uniform(*LATENCY_FRACTION))
+        ended = AttemptEnded(number, 0, endpoint, Outcome.OK, latency, request_ended=True)
+        self._at(self._now + latency, partial(self._handle, gateway, ended))
+
+    def _count_sent(self, customer: Customer) -> None:
+        plan = PLANS[customer.plan].plan
+        is_inside = customer.sent.take(self._now / SECOND)
+        self.counts["sent"] += 1
+        if is_inside:
+            self.worth["inside"] += plan.price
+        else:
+            self.counts["beyond"] += 1
+            self.worth["over"] += plan.price * plan.over_quota_cost
+
+    def _on_rejected(self, number: int, retry_after: int) -> None:
+        customer, retries = self._requests.pop(number)
+        if retries < CLIENT_RETRIES and self._rng.random() < RETRYING_FRACTION:
+            heeds = retry_after and self._rng.random() < HEEDING_FRACTION
+            wait = (retry_after / SECOND if heeds else CLIENT_BACKOFF) * self._rng.uniform(0.9, 1.1)
+            self._at(self._now + wait * SECOND, partial(self._arrive, customer, retries + 1))
 
 
 class Host:
     """Plays days in a process of its own, with the program that is to be measured."""
 
     def play(self, fleet_size: int, seconds: float, calls_per_s: float, seed: int) -> dict[str, float]:
+        """Plays a day, and returns its figures."""
         return Day(fleet_size, seconds, calls_per_s, seed=seed).play()
