--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,7 +10,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from quota_ingress.net.admin import AdminServer, decode_percent
+from quota_ingress.net.admin import AdminServer, Status, decode_percent
 from tests.net_helpers import (
     HOST,
     read_answer,
@@ -111,3 +111,25 @@
     writer.write(b"nonsense\r\n\r\n")
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
     writer.close()
+
+
+async def test_a_call_in_a_transfer_coding_that_is_not_supported_is_answered(operators: Operators) -> None:
+    """It ended with a traceback in the log and no answer."""
+    reader, writer = await asyncio.open_connection(HOST, operators.port)
+    writer.write(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n")
+    assert (await read_answer(reader)).startswith(b"HTTP/1.1 501 Not Implemented\r\n")
+    writer.close()
+
+
+def test_each_status_has_its_reason() -> None:
+    assert {status.value: status.reason for status in Status} == {
+        200: "OK",
+        400: "Bad Request",
+        404: "Not Found",
+        405: "Method Not Allowed",
+        408: "Request Timeout",
+        413: "Content Too Large",
+        431: "Request Header Fields Too Large",
+        501: "Not Implemented",
+        503: "Service Unavailable",
+    }
