--- a/ingress_testbed/probe.py
+++ b/ingress_testbed/probe.py
@@ -114,7 +114,7 @@
         changes = [build_list(range(n, n + 1), ListKind.DELTA, SECOND + n) for n in range(CHANGES)]
         change = cpu_of(lambda: [gateway.handle(2 * SECOND, event) for event in changes]) / CHANGES
         request = cpu_of(lambda: play_requests(gateway, 60 * SECOND, range(REQUESTS))) / REQUESTS
-        preferred = len(getattr(gateway.endpoints, "preferred", ()))
+        preferred = len(gateway.endpoints.preferred)
         lost_zone = build_list(range(round(OUTAGE * size)), ListKind.DELTA, is_removed=True)
         zone = cpu_of(lambda: gateway.handle(90 * SECOND, lost_zone))
         return {
