--- a/ingress_testbed/soak/judge.py
+++ b/ingress_testbed/soak/judge.py
@@ -90,7 +90,7 @@
 def _held_up(life: Life | None, since: float, until: float) -> bool:
     """The process got no processor for longer than it has to allow for, by its own log, in that time."""
     for state in life.states if life else ():
-        if '"held up"' in state:
+        if '"event loop late"' in state:
             event = json.loads(state)
             ended, late = event["at"] / 1e6, event["late_us"] / 1e6
             if event["cpu_us"] / 1e6 < late / 2 and ended - late - SWEEP < until and ended > since:
--- a/ingress_testbed/soak/nodes.py
+++ b/ingress_testbed/soak/nodes.py
@@ -24,7 +24,7 @@
 READY = 60.0  # s for a process to listen
 KILL_AFTER = 3.7  # s from SIGTERM, as the platform does
 PORTS = (10_000, 32_000)  # under the range of outgoing connections
-STATES = ('"discovery told"', '"discovery call ended"', '"reload"', '"process"')
+STATES = ('"endpoint list received"', '"watch ended"', '"reload"', '"process"')
 LONGEST_LINE = 1024 * 1024
 
 
@@ -61,12 +61,12 @@
             self.ready.exception()  # it may be that nobody waits for it
 
     def _event(self, text: str) -> None:
-        if '"arrived"' in text or '"ended"' in text or '"refused"' in text:
+        if '"arrived"' in text or '"ended"' in text or '"rejected"' in text:
             event = json.loads(text)
             match event["event"], event.get("id"):
                 case "arrived", str(id):
                     self.life.arrived[id] = event["at"] / 1e6
-                case (("ended" | "refused"), str(id)):
+                case (("ended" | "rejected"), str(id)):
                     self.life.arrived.setdefault(id, event["at"] / 1e6)
                     self.life.ended.setdefault(id, []).append(event.get("reason", ""))
         elif any(kind in text for kind in STATES):
--- a/quota_ingress/net/discovery/watch.py
+++ b/quota_ingress/net/discovery/watch.py
@@ -107,7 +107,7 @@
         while True:
             self.retry.on_call(loop.time())
             end = await self._call(needs_snapshot)
-            self._trace.event("discovery call ended", end.name.lower(), version=self.version)
+            self._trace.event("watch ended", end.name.lower(), version=self.version)
             # After an empty answer, the next watch may stay empty, too.
             needs_snapshot = end is CallEnd.EMPTY or self.version is None
             if wait := self.retry.next_wait(end, loop.time()):
--- a/quota_ingress/net/downstream/close_reason.py
+++ b/quota_ingress/net/downstream/close_reason.py
@@ -8,12 +8,12 @@
 class CloseReason(Enum):
     """Why this side closed a client's connection. The values are texts of the event log."""
 
-    LAST_RESPONSE = "last answer"  # the close was announced with the response
+    LAST_RESPONSE = "last response"  # the close was announced with the response
     IDLE = "idle"
     EVICTED = "evicted"  # its descriptor was needed
-    LINGER_TIMEOUT = "lingered"  # responded to early, and it went on sending
-    RESPONSE_UNREAD = "answer unread"
-    RESPONSE_TRUNCATED = "answer broken"  # by its backend: the client has to see that it is not whole
+    LINGER_TIMEOUT = "linger timeout"  # responded to early, and it went on sending
+    RESPONSE_UNREAD = "response unread"
+    RESPONSE_TRUNCATED = "response truncated"  # by its backend: the client has to see that it is not whole
     CLIENT_LEFT = "client left"
     PROCESS_END = "process end"
 
--- a/quota_ingress/net/downstream/process_delay.py
+++ b/quota_ingress/net/downstream/process_delay.py
@@ -26,6 +26,6 @@
             late = now - self._last_call_at - self._interval_us
             if late > WRITE_DELAY:
                 cpu_us = int(US_PER_S * (cpu_s - self._last_cpu_s))
-                self._event_log.event("process", "held up", late_us=late, cpu_us=cpu_us)
+                self._event_log.event("process", "event loop late", late_us=late, cpu_us=cpu_us)
         self._last_call_at = now
         self._last_cpu_s = cpu_s
--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -157,7 +157,7 @@
             id=request.parsed.id,
             n=attempt.number,
             backend=attempt.backend,
-            told_us=time_left,
+            timeout_us=time_left,
         )
         held = bytes(body.data) if body.complete and not body.is_long else b""
         return b"Request-Timeout: %dm\r\n\r\n%b" % (max(1, time_left // 1000), held)
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -114,7 +114,7 @@
         waited = now - parsed.received_at
         time_left = parsed.timeout - (waited if parsed.body.complete else 0)
         if reason := self._early_rejection(time_left):
-            self.event_log.event("refused", reason, id=parsed.id, left_us=time_left)
+            self.event_log.event("rejected", reason, id=parsed.id, left_us=time_left)
             client.reject(0)  # nothing was sent: harmless, and the policy never hears of it
             return True
         self.event_log.event("arrived", id=parsed.id, left_us=time_left, waited_us=waited)
@@ -186,7 +186,7 @@
         if time_left <= ANSWER_MARGIN:
             return "no time left"
         if 0 < self.settings.limits.max_in_flight <= self.in_flight:
-            return "too many open"
+            return "too many in flight"
         return ""
 
     def _start_deadline(self, request: Request, now: int) -> None:
@@ -204,7 +204,7 @@
         self.post(ClientDisconnected(request.number))
 
     def _end_disconnected(self, request: Request) -> None:
-        self.event_log.event("ended", "client gone", id=request.parsed.id)
+        self.event_log.event("ended", "client disconnected", id=request.parsed.id)
         self.mark_answered(request)
         self.attempts.withdraw_unwritten(request)
         self.post(ClientDisconnected(request.number))
@@ -231,7 +231,7 @@
         try:
             snapshot = snapshot_codec.decode(message, self.endpoints.numbers)
         except snapshot_codec.SnapshotError as error:
-            log.warning("handover: what the other process learned cannot be read: %s", error)
+            log.warning("upgrade: the other process's snapshot cannot be read: %s", error)
             return
         self._policy.restore(snapshot)
 
@@ -303,7 +303,7 @@
         request = self._requests.get(action.request)
         if request is None or request.answered:
             return
-        self.event_log.event("ended", "refused", id=request.parsed.id, retry_after_us=action.retry_after)
+        self.event_log.event("ended", "rejected", id=request.parsed.id, retry_after_us=action.retry_after)
         self.mark_answered(request)
         request.client.reject(action.retry_after if self.settings.limits.sends_retry_after else 0)
         self._requests.remove_if_finished(action.request)
--- a/quota_ingress/net/engine/send_rules.py
+++ b/quota_ingress/net/engine/send_rules.py
@@ -19,14 +19,14 @@
 class Denial(Enum):
     """Why an attempt may not begin."""
 
-    REQUEST_ANSWERED = "request over"
-    CLIENT_DISCONNECTED = "client gone"
+    REQUEST_ANSWERED = "request answered"
+    CLIENT_DISCONNECTED = "client disconnected"
     OUT_OF_TIME = "out of time"
     TOO_MANY_ATTEMPTS = "too many attempts"
-    HEDGED = "second copy"
-    BODY_FORWARDED = "body passed on"
+    HEDGED = "hedging not allowed"
+    BODY_FORWARDED = "body forwarded"
     MAY_HAVE_RUN = "may have run"
-    WINDOW_OVER = "window over"
+    WINDOW_OVER = "deduplication window over"
 
 
 # The policy is told all that these depend on, so it has to foresee them.
--- a/quota_ingress/net/lifecycle/reload.py
+++ b/quota_ingress/net/lifecycle/reload.py
@@ -46,8 +46,8 @@
             else:
                 log.warning("configuration not reloaded, the old one stays in force: %s", error)
         except ConfigError as error:
-            self._event_log.event("reload", "not read")
+            self._event_log.event("reload", "invalid")
             log.warning("configuration not reloaded, the old one stays in force: %s", error)
         else:
-            self._event_log.event("reload", "read", discovery=config.discovery, counter=config.counter)
+            self._event_log.event("reload", "applied", discovery=config.discovery, counter=config.counter)
             self._apply(config)
--- a/quota_ingress/net/upstream/close_reason.py
+++ b/quota_ingress/net/upstream/close_reason.py
@@ -10,15 +10,15 @@
 
     IDLE = "idle"
     EVICTED = "evicted"  # its descriptor was needed, or enough others are idle
-    NOT_ALIVE = "not standing"  # at its next use: the backend had ended it, or sent unsolicited data
+    NOT_ALIVE = "not alive"  # at its next use: the backend had ended it, or sent unsolicited data
     WITHDRAWN = "withdrawn"  # the backend drains, was removed or was restarted
     ABORTED = "aborted"  # its attempt was given up
-    NOT_AUTHORIZED = "denied"  # its attempt might not begin any more
+    NOT_AUTHORIZED = "not authorized"  # its attempt might not begin any more
     WRITE_FAILED = "write failed"
     NOT_REUSABLE = "not reusable"  # answered, but the next response could not be distinguished from this one
-    PROTOCOL_ERROR = "not understood"
-    STALLED = "stuck"
-    BODY_DISCARDED = "body gone"  # of the request, sent with another attempt and no longer held
+    PROTOCOL_ERROR = "protocol error"
+    STALLED = "stalled"
+    BODY_DISCARDED = "body discarded"  # of the request, sent with another attempt and no longer held
     UNWANTED = "unwanted"  # a long response that nobody reads
     BY_BACKEND = "by backend"
     PROCESS_END = "process end"
--- a/quota_ingress/policy/events.py
+++ b/quota_ingress/policy/events.py
@@ -13,12 +13,12 @@
 
     OK = "ok"
     ERROR = "error"  # may have run
-    REJECTED = "full"  # rejected unprocessed
+    REJECTED = "rejected"  # never ran: the endpoint is full or draining
     TIMEOUT = "timeout"  # may have run, may still run
     CONNECT_FAILED = "connect failed"  # never ran
     RESET = "reset"  # may have run
     CANCELLED = "cancelled"  # may have run
-    NOT_SENT = "moot"  # never sent
+    NOT_SENT = "not sent"
 
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -102,5 +102,5 @@
     ran.send_signal(signal.SIGTERM)
     _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
     lines = (line.partition("quota_ingress.events: ")[2] for line in errors.splitlines())
-    held_up = [e for e in map(json.loads, filter(None, lines)) if e.get("reason") == "held up"]
+    held_up = [e for e in map(json.loads, filter(None, lines)) if e.get("reason") == "event loop late"]
     assert held_up and held_up[0]["late_us"] > 200_000 and held_up[0]["cpu_us"] < 100_000
