--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -225,10 +225,10 @@
         return head + await reader.readexactly(length)
 
 
-def request(id: str = "a1", cls: str = "read", timeout: str = "3000m", **other: str) -> bytes:
+def request(request_id: str = "a1", cls: str = "read", timeout: str = "3000m", **other: str) -> bytes:
     headers = {
         "Host": "app.svc",
-        "Request-Id": id,
+        "Request-Id": request_id,
         "X-Plan": "gold",
         "Cookie": f"customer={7:016x}",
         "Request-Timeout": timeout,
