--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -24,6 +24,7 @@
 from tests.net_helpers import (
     HOST,
     OK,
+    RAW,
     Peer,
     PeerServer,
     answers,
@@ -35,6 +36,13 @@
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 
+REQUEST_TIME_US = 20_000_000  # a request waits while another process starts, however slow the machine is
+LONG_DEADLINE_SETTINGS = RAW | {
+    "services": [
+        service | {"on_time": REQUEST_TIME_US, "deadline": REQUEST_TIME_US} for service in RAW["services"]
+    ]
+}
+
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.BIND, Call.LISTEN, Call.RENAME])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO, errno.ENFILE], ids=errno.errorcode.get)
@@ -199,14 +207,14 @@
     ]
     path = tmp_path / "config.json"
     known = {"index": 1, "snapshot": True, "endpoints": endpoints}
-    path.write_text(json.dumps(config_document(known=known)))
+    path.write_text(json.dumps(config_document(known=known, settings=LONG_DEADLINE_SETTINGS)))
     old_admin, new_admin = free_port(), free_port()
     shared = SharedListener(tmp_path)
 
     old = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{old_admin}")
     assert await operators_call(old_admin, "POST /control/backends/s-2/offline") == 200
     reader, writer = await asyncio.open_connection(HOST, shared.port)
-    writer.write(request("old", "order"))
+    writer.write(request("old", "order", timeout=f"{REQUEST_TIME_US // 1000}m"))
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
     assert await operators_call(new_admin, "GET /control/ready") == 200
