--- a/quota_ingress/net/http/__init__.py
+++ b/quota_ingress/net/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages read from connections, within limits, for the downstream and the upstream side."""
+"""Reads HTTP/1.1 messages from client and backend connections and enforces size limits."""
 
 from quota_ingress.net.http.body import BODY_BUFFER_BYTES, Body, EncodedPart
 from quota_ingress.net.http.connection import WRITE_BUFFER_BYTES, HttpConnection, limit_socket_buffers
--- a/quota_ingress/net/http/body.py
+++ b/quota_ingress/net/http/body.py
@@ -1,4 +1,4 @@
-"""The body of a message on its way through, with back-pressure between its writer and its reader."""
+"""Buffer for a message body being forwarded, with back-pressure from the sending to the receiving side."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from quota_ingress.net.http.memory_budget import MemoryBudget
 
-BODY_BUFFER_BYTES = 64 * 1024  # a longer body is streamed, and so much of it buffered at a time
-PART_BYTES = 64 * 1024  # written at a time
+BODY_BUFFER_BYTES = 64 * 1024  # a longer body is streamed through a buffer of this size
+PART_BYTES = 64 * 1024  # maximum size of one write
 
 
 def _do_nothing() -> None:
@@ -16,17 +16,17 @@
 
 
 class EncodedPart(NamedTuple):
-    """A part of a body as it is written to a connection."""
+    """Part of a body, encoded for writing to a connection."""
 
     data: bytes
-    end: int  # offset in the body of the byte behind it
+    end: int  # body offset just past this part
 
 
 class Body:
-    """The bytes of a body that have been received and not discarded.
+    """Body bytes that have been received and not yet discarded.
 
-    The receiving side appends and is called back by `on_drained`; the sending side reads, discards, and is
-    called back by `on_update`. Offsets count bytes from the start of the body.
+    The receiving side appends bytes and is notified by `on_drained`. The sending side reads and discards
+    bytes and is notified by `on_update`. Offsets count bytes from the start of the body.
     """
 
     __slots__ = (
@@ -46,40 +46,40 @@
     def __init__(self, budget: MemoryBudget) -> None:
         self.budget = budget
         self.data = bytearray()
-        self.declared_length: int | None = 0  # None: ends with the last chunk, or with the connection
+        self.declared_length: int | None = 0  # None: delimited by the last chunk or by connection close
         self.received = 0
         self.discarded = 0
         self.complete = False
-        self.truncated = False  # its end will never be received
-        self.released = False  # nobody reads it any more
-        self.chunked = False  # it is forwarded in chunks
-        self.on_update: Callable[[], object] = _do_nothing  # on more bytes, the end, or truncation
-        self.on_drained: Callable[[], object] = _do_nothing  # on a discard
+        self.truncated = False  # the remaining bytes will never be received
+        self.released = False  # the buffer has been freed; further bytes are only counted
+        self.chunked = False  # forwarded with chunked transfer coding
+        self.on_update: Callable[[], object] = _do_nothing  # called on new bytes, the end, or truncation
+        self.on_drained: Callable[[], object] = _do_nothing  # called when bytes are discarded
 
     @property
     def buffered(self) -> int:
-        """The number of bytes in memory."""
+        """Number of bytes held in memory."""
         return len(self.data)
 
     @property
     def is_long(self) -> bool:
-        """Whether it is too long to be buffered whole."""
+        """Whether the received or declared length exceeds `BODY_BUFFER_BYTES`."""
         return self.received > BODY_BUFFER_BYTES or (self.declared_length or 0) > BODY_BUFFER_BYTES
 
     def append(self, part: bytes) -> None:
-        """Adds what has been received; a released body only counts it."""
+        """Adds received bytes. After `release`, the bytes are counted but not stored."""
         self.received += len(part)
         if not self.released:
             self.data += part
             self.budget.used += len(part)
 
     def read(self, offset: int, max_bytes: int = PART_BYTES) -> bytes:
-        """Returns the buffered bytes from `offset` on, which must not have been discarded."""
+        """Returns up to `max_bytes` buffered bytes from `offset`, which must not have been discarded."""
         start = offset - self.discarded
         return bytes(memoryview(self.data)[start : start + max_bytes])
 
     def discard(self, before: int) -> None:
-        """Forgets the bytes before that offset."""
+        """Frees the bytes before the offset `before` and calls `on_drained`."""
         if before > self.discarded and not self.released:
             count = before - self.discarded
             self.budget.used -= count
@@ -88,7 +88,7 @@
             self.on_drained()
 
     def release(self) -> None:
-        """Frees all that is buffered; what is still received is only counted."""
+        """Frees the buffer and removes both callbacks. Bytes received later are only counted."""
         if not self.released:
             self.released = True
             self.budget.used -= len(self.data)
@@ -99,17 +99,20 @@
         self.on_drained = _do_nothing
 
     def truncate(self) -> None:
-        """Notes that its end will never be received, unless it has been."""
+        """Marks an incomplete body as truncated and calls `on_update`. Does nothing if it is complete."""
         if not self.complete:
             self.truncated = True
             self.on_update()
 
     def detach_reader(self) -> None:
-        """Stops notifying the reader; another one may follow."""
+        """Stops notifying the sending side; another sender may set `on_update` again."""
         self.on_update = _do_nothing
 
     def encode(self, offset: int) -> EncodedPart:
-        """Returns the next part from `offset` on as it is written, with the last chunk behind the end."""
+        """Returns the next part from `offset`, as a chunk if `chunked` is set.
+
+        The last chunk follows the last byte of a complete body.
+        """
         part = self.read(offset)
         end = offset + len(part)
         if not self.chunked:
--- a/quota_ingress/net/http/connection.py
+++ b/quota_ingress/net/http/connection.py
@@ -1,4 +1,4 @@
-"""A connection that carries HTTP messages: from the transport through the reader to a subclass."""
+"""Base class of connections that carry HTTP messages: passes received bytes through a message reader."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from quota_ingress.net.http.message_reader import FramingError, Message, MessageReader
 
-SOCKET_BUFFER_BYTES = 128 * 1024  # for each direction: the kernel's buffers count as memory, too
-WRITE_BUFFER_BYTES = 128 * 1024  # above it the transport asks its writer to pause
+SOCKET_BUFFER_BYTES = 128 * 1024  # per direction; kernel socket buffers count as memory, too
+WRITE_BUFFER_BYTES = 128 * 1024  # high-water mark above which the transport pauses its writer
 
 
 def limit_socket_buffers(sock: socket.socket) -> None:
-    """Asks the kernel for buffers of SOCKET_BUFFER_BYTES.
+    """Sets the socket's send and receive buffers to SOCKET_BUFFER_BYTES.
 
     Raises:
-        OSError: The socket does not take the option.
+        OSError: The kernel rejected the option.
     """
     for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
         sock.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER_BYTES)
 
 
 class HttpConnection(asyncio.Protocol):
-    """Reads messages, and delivers each to `message_received` once the parser has returned.
+    """Reads messages and delivers each to `message_received` after the parser has returned.
 
-    So an error in handling a message is never mistaken for an error in parsing it. Subclasses implement
-    `message_received` and `protocol_error`.
+    Because messages are not handled inside parser callbacks, an error in handling one cannot be mistaken for
+    a parse error. Subclasses implement `message_received` and `protocol_error`.
     """
 
     transport: asyncio.Transport
@@ -34,29 +34,29 @@
     def __init__(self, reader: MessageReader) -> None:
         self.reader = reader
         reader.on_message_started = self.message_started
-        self._more_messages = False  # the same read holds further ones behind the one being delivered
+        self._more_messages = False  # the same read contained messages after the one being delivered
 
     def message_received(self, message: Message) -> None:
-        """Handles a message whose head, or more of whose body, has been received."""
+        """Handles a message whose head is complete. Called again when more of its body has been received."""
         raise NotImplementedError
 
     def protocol_error(self, error: FramingError) -> None:
-        """Handles bytes that cannot be read; nothing behind them is read."""
+        """Handles a framing error. Bytes received after it are not parsed."""
         raise NotImplementedError
 
     def message_started(self) -> None:
-        """Handles the first byte of a message; does nothing by default."""
+        """Called when the first byte of a message is received. Does nothing by default."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drops the parser."""
+        """Closes the message reader, which drops its parser."""
         self.reader.close()
 
     def data_received(self, data: bytes) -> None:
-        """Reads the bytes, unless they follow an error."""
+        """Parses the bytes and delivers the messages read. Ignores bytes after a framing error."""
         if self.reader.framing_lost:
             return
         try:
@@ -68,7 +68,7 @@
             self._deliver()
 
     def complete_at_eof(self) -> None:
-        """Handles the other side's orderly end, which may complete the body of its last message."""
+        """Handles the peer's end of stream, which may complete the body of its last message."""
         self.reader.read_eof()
         self._deliver()
 
--- a/quota_ingress/net/http/message_reader.py
+++ b/quota_ingress/net/http/message_reader.py
@@ -1,7 +1,7 @@
-"""Reads HTTP/1.1 messages from the bytes of a connection, without I/O.
+"""Parses HTTP/1.1 messages from the bytes of a connection, without I/O.
 
-A message is delivered once its head is complete, and again whenever more of its body has been received.
-Limits hold for heads, trailers and the bodies of requests; responses are streamed, so their bodies have none.
+A message is delivered when its head is complete, and again whenever more of its body has been received.
+Heads, trailers and request bodies are limited in size. Response bodies are streamed, so they have no limit.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 MAX_HEAD_BYTES = 16 * 1024
 MAX_TRAILER_BYTES = 16 * 1024
 MAX_REQUEST_BODY_BYTES = 48 * 1024 * 1024
-FIELD_OVERHEAD_BYTES = 4  # of a header field beside its name and value: a colon, a space, CRLF
+FIELD_OVERHEAD_BYTES = 4  # per header field, beside its name and value: colon, space, CRLF
 BODYLESS_STATUSES = frozenset({204, 304})
 FIRST_FINAL_STATUS = 200
 
 
 class FramingError(Exception):
-    """The bytes are not HTTP, or exceed a limit: nothing behind them can be read.
+    """The bytes are not valid HTTP or exceed a limit, so nothing after them can be parsed.
 
-    `status` is the response status that tells a client so.
+    `status` is the status code of the response that reports the error to a client.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -40,7 +40,7 @@
 
 
 class Message:
-    """A request (`method`, `target`) or a response (`status`): its head, and its body as it is received."""
+    """A request (`method`, `target`) or a response (`status`), whose body may still be incomplete."""
 
     __slots__ = (
         "body",
@@ -54,20 +54,20 @@
     )
 
     def __init__(self, budget: MemoryBudget) -> None:
-        self.completed_at = 0  # us: when its last byte arrived at this machine; 0 until then
+        self.completed_at = 0  # us: when the last byte arrived at this machine; 0 while incomplete
         self.method = b""
         self.target = b""
         self.status = 0
-        self.headers: dict[bytes, bytes] = {}  # by lower-case name; values of a repeated field are joined
+        self.headers: dict[bytes, bytes] = {}  # by lower-case name; repeated fields are joined by ", "
         self.body = Body(budget)
         self.keep_alive = True
         self.is_http_1_0 = False
 
 
 class MessageReader(ABC):
-    """Reads one direction of a connection; a subclass for each kind of message.
+    """Parses the messages of one direction of a connection. Subclasses read requests or responses.
 
-    Its `on_...` methods are httptools' callbacks.
+    The `on_...` methods are httptools callbacks.
     """
 
     max_body_bytes: ClassVar[float] = math.inf
@@ -75,24 +75,24 @@
     def __init__(self, budget: MemoryBudget) -> None:
         self._budget = budget
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None = self._new_parser()
-        self._updated: list[Message] = []  # by the bytes that are being read
+        self._updated: list[Message] = []  # not yet returned by `take_updated`
         self._in_head = True
         self._head_bytes = 0  # received since the message began, while its head is incomplete
-        self._field_bytes = 0  # of the head's fields, then of the trailer's
-        self._rejection_status = 0  # of the error that a callback raised: httptools wraps what these raise
+        self._field_bytes = 0  # size of the head's fields, then of the trailer's
+        self._rejection_status = 0  # status of an error raised in a callback, as httptools wraps the error
         self._replaying_head = False
         self._body_after_upgrade = False
-        self.message = Message(budget)  # the one that is being read, or the last one
+        self.message = Message(budget)  # the message being read, or the last one
         self.in_message = False  # a message has begun and is incomplete
-        self.framing_lost = False
+        self.framing_lost = False  # a framing error occurred; later bytes cannot be parsed
         self.received_at = 0  # us: when the bytes being read arrived; set by the owner
         self.on_message_started: Callable[[], None] = _do_nothing
 
     def feed(self, data: bytes) -> None:
-        """Reads further bytes of the connection.
+        """Parses further bytes of the connection.
 
         Raises:
-            FramingError: They cannot be read; messages that were read before the error are kept.
+            FramingError: The bytes cannot be parsed. Messages read before the error are kept.
         """
         if self._in_head:
             self._head_bytes += len(data)
@@ -108,37 +108,38 @@
             raise
 
     def take_updated(self) -> list[Message]:
-        """Returns the messages that have been read or extended since the last call, in order."""
+        """Returns, in order, the messages whose head or further body was read since the last call."""
         updated = self._updated
         self._updated = []
         return updated
 
     def read_eof(self) -> None:
-        """Reads the orderly end of the connection, which completes a body with neither length nor chunks."""
+        """Handles end of stream, which completes a body with neither Content-Length nor chunked coding."""
         headers = self.message.headers
         if not (self._in_head or b"content-length" in headers or b"transfer-encoding" in headers):
             self.message.keep_alive = False
             self._complete()
 
     def close(self) -> None:
-        """Drops the parser, which refers back to this reader.
+        """Drops the parser, which holds a reference back to this reader.
 
-        Left in that circle, a closed connection would wait, buffers and all, for the garbage collector.
+        The reference cycle would keep a closed connection and its buffers in memory until the garbage
+        collector runs.
         """
         self._parser = None
         self.on_message_started = _do_nothing
 
     @abstractmethod
     def _new_parser(self) -> httptools.HttpRequestParser | httptools.HttpResponseParser:
-        """Returns httptools' parser for this kind of message, with this reader for its callbacks."""
+        """Returns an httptools parser for this kind of message that calls back this reader."""
 
     @abstractmethod
     def _read_start_line(self, message: Message) -> None:
-        """Fills in what is particular to a request or a response, and the length of the body."""
+        """Sets the method or the status of the message, and the declared length of its body."""
 
     @abstractmethod
     def _continue_after_upgrade(self) -> None:
-        """Goes on reading HTTP after a message that asked for another protocol."""
+        """Prepares for parsing HTTP after a message that requested a protocol upgrade."""
 
     def _parse(self, data: bytes) -> None:
         while True:
@@ -150,7 +151,7 @@
                 data = data[upgrade.args[0] :]
             self._continue_after_upgrade()
 
-    def _note_update(self) -> None:
+    def _mark_updated(self) -> None:
         if not self._updated or self._updated[-1] is not self.message:
             self._updated.append(self.message)
 
@@ -160,16 +161,16 @@
         self.in_message = False
         self.message.body.complete = True
         self.message.completed_at = self.received_at
-        self._note_update()
+        self._mark_updated()
 
     def _reject(self, status: int, reason: str) -> NoReturn:
         self._rejection_status = status
         raise FramingError(status, reason)
 
-    # Callbacks of httptools.
+    # httptools callbacks.
 
     def on_message_begin(self) -> None:
-        """Starts a message."""
+        """Starts a new message and calls `on_message_started`."""
         if self._replaying_head:
             return
         self.message = Message(self._budget)
@@ -179,7 +180,7 @@
         self.on_message_started()
 
     def on_url(self, part: bytes) -> None:
-        """Adds to a request's target."""
+        """Appends to the request target, which may arrive in parts."""
         if self._replaying_head:
             return
         self.message.target += part
@@ -187,7 +188,7 @@
             self._reject(431, "the target is too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Adds a field of the head; one of the trailer only counts, as it must not pass for a header."""
+        """Stores a header field. A trailer field only counts towards its limit and is never a header."""
         if self._replaying_head:
             return
         self._field_bytes += len(name) + len(value) + FIELD_OVERHEAD_BYTES
@@ -199,12 +200,12 @@
             self._reject(431, "the head is too large")
         headers = self.message.headers
         name = name.lower()
-        value = value.rstrip(b" \t")  # httptools leaves this to its caller
-        before = headers.get(name)
-        headers[name] = value if before is None else before + b", " + value
+        value = value.rstrip(b" \t")  # httptools does not strip trailing whitespace
+        previous = headers.get(name)
+        headers[name] = value if previous is None else previous + b", " + value
 
     def on_headers_complete(self) -> None:
-        """Completes the head."""
+        """Completes the head: checks the transfer coding and determines the length of the body."""
         if self._replaying_head:
             return
         assert self._parser is not None
@@ -218,24 +219,24 @@
             self._reject(501, f"Transfer-Encoding {coding!r} is not supported")
         message.keep_alive = self._parser.should_keep_alive()
         self._read_start_line(message)
-        self._note_update()
+        self._mark_updated()
 
     def on_body(self, part: bytes) -> None:
-        """Adds to the body."""
+        """Appends to the body, and rejects one that exceeds `max_body_bytes`."""
         body = self.message.body
         body.append(part)
         if body.received > self.max_body_bytes:
             self._reject(413, "the body is too large")
-        self._note_update()
+        self._mark_updated()
 
     def on_message_complete(self) -> None:
-        """Completes the message."""
+        """Completes the message, unless its body is to be read after an upgrade request."""
         if not self._body_after_upgrade:
             self._complete()
 
 
 class RequestReader(MessageReader):
-    """Reads requests."""
+    """Parses requests, whose bodies are limited to MAX_REQUEST_BODY_BYTES."""
 
     max_body_bytes: ClassVar[float] = MAX_REQUEST_BODY_BYTES
     _parser: httptools.HttpRequestParser | None
@@ -257,10 +258,10 @@
         self._body_after_upgrade = bool(self._parser.should_upgrade() and has_body)
 
     def _continue_after_upgrade(self) -> None:
-        """Goes on with a new parser, as no other protocol is spoken here.
+        """Ignores the upgrade request, as no other protocol is supported, and continues with a new parser.
 
-        The old parser takes a head that asks for an upgrade for the last of HTTP, so the new one is given a
-        head that announces the same body.
+        The old parser stops after a head that requests an upgrade. So that the new one reads the body, it is
+        fed a head with the same body framing.
         """
         self._parser = self._new_parser()
         if not self._body_after_upgrade:
@@ -274,7 +275,7 @@
 
 
 class ResponseReader(MessageReader):
-    """Reads responses. `expects_no_body`: the next one answers HEAD, whose response has a head alone."""
+    """Parses responses. `expects_no_body`: the next response is to a HEAD request, so it has no body."""
 
     _parser: httptools.HttpResponseParser | None
 
@@ -293,10 +294,10 @@
             message.body.declared_length = 0
         else:
             message.body.declared_length = None if length is None else int(length)
-        if self.expects_no_body:  # the parser would wait for the body, so the connection cannot be reused
+        if self.expects_no_body:  # the parser still expects a body, so the connection cannot be reused
             message.keep_alive = False
             if message.status >= FIRST_FINAL_STATUS:
                 self._complete()
 
     def _continue_after_upgrade(self) -> None:
-        raise FramingError(400, "the backend switches protocols, though nobody asked it to")
+        raise FramingError(400, "unsolicited protocol upgrade in a backend's response")
