--- a/quota_ingress/net/upstream/__init__.py
+++ b/quota_ingress/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the endpoints: connections, the pool of idle ones, exchanges and probes."""
+"""Connections to endpoints: connection pools, exchanges (one attempt each) and health checks."""
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -1,4 +1,4 @@
-"""The connections to all backends: attempts, health checks, and the pools behind them."""
+"""Client for all backends: sends attempts and health checks over one connection pool per backend."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from quota_ingress.policy.endpoint_list import EndpointState
 from quota_ingress.policy.events import Outcome
 
-IDLE_TIMEOUT_FRACTION = 0.75  # of the backend's own idle timeout: ours closes first
+IDLE_TIMEOUT_FRACTION = 0.75  # of the backend's idle timeout, so that this side closes first
 SWEEP_INTERVAL_S = 1.0
-STALL_TIMEOUT_S = 5.0  # without a byte taken of a body, or given of a long response
+STALL_TIMEOUT_S = 5.0  # without a byte of a request body accepted or of a streamed response received
 HEALTH_CHECK_TIMEOUT_S = 0.25
 HEALTH_CHECK = b"GET /metrics/load HTTP/1.1\r\nHost: app.svc\r\n\r\n"
-MAX_REUSE_FAILURE_RATE = 0.01  # above it, a request that may not run twice gets a new connection
+MAX_REUSE_FAILURE_RATE = 0.01  # above this, non-idempotent requests get new connections
 MAX_IDLE_PER_BACKEND = 8
-MAX_FLEET_IDLE_PER_BACKEND = 32  # of all gateways: an open connection costs the backend capacity
+MAX_FLEET_IDLE_PER_BACKEND = 32  # for all gateways together; open connections cost the backend capacity
 US_PER_S = 1e6
 
 
 class UpstreamClient:
-    """Sends attempts to backends, which it knows by the engine's numbers."""
+    """Sends attempts and health checks to backends, identified by the engine's backend numbers."""
 
     def __init__(
         self,
@@ -39,9 +39,10 @@
         fleet_size: int = 1,
         event_log: EventLog | None = None,
     ) -> None:
-        """Starts the sweep of idle and stalled connections; it runs until `stop`.
+        """Starts the periodic sweep of idle and stalled connections, which runs until `stop`.
 
-        `idle_timeout_us` is the backends' own; `fleet_size` counts the gateways that share the backends.
+        `idle_timeout_us` is the idle timeout of the backends. `fleet_size` is the number of gateways that
+        share the backends.
         """
         self._event_log = event_log or EventLog()
         self._descriptors = descriptors
@@ -56,7 +57,7 @@
             connect_timeout_s=connect_timeout_us / US_PER_S,
         )
         self._pools: dict[int, ConnectionPool] = {}
-        self._to_withdraw: set[int] = set()  # their connections lead nowhere, or must not be used
+        self._to_withdraw: set[int] = set()  # backends that moved, restarted or accept no requests
         self._loop = asyncio.get_running_loop()
         self._sweep_timer: asyncio.TimerHandle | None = None
         descriptors.evict = self._evict_idle
@@ -71,7 +72,7 @@
             pool.close_busy(UpstreamCloseReason.PROCESS_END)
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
-        """Takes in an entry of the endpoint list; `reconcile` then closes what it has made void."""
+        """Applies an entry of the endpoint list. `reconcile` then closes connections that became invalid."""
         pool = self._pools.get(backend)
         if pool is None:
             if entry.state is not EndpointState.REMOVED:
@@ -87,7 +88,7 @@
             self._to_withdraw.add(backend)
 
     def reconcile(self, removed: Iterable[int]) -> None:
-        """Withdraws what the registered entries have made void, and forgets the removed backends."""
+        """Withdraws the pools that registered entries have invalidated, and drops removed backends."""
         for backend in removed:
             if pool := self._pools.pop(backend, None):
                 pool.accepts_requests = False
@@ -107,10 +108,10 @@
         on_stream_started: ResultCallback | None = None,
         authorize: Authorize = always_authorized,
     ) -> Exchange:
-        """Begins an attempt; see `Exchange` for the parts.
+        """Begins an attempt. The other arguments are described at `Exchange`.
 
-        A request that is `non_idempotent` is over at a reset, so it gets a new connection where reused ones
-        often end at the next request.
+        A `non_idempotent` request cannot be retried after a connection reset, so it gets a new connection
+        while reused connections often end at their next request.
         """
         exchange = Exchange(head, on_ended, body, on_stream_started, authorize)
         pool = self._pools.get(backend)
@@ -127,14 +128,14 @@
         exchange = self.send(backend, HEALTH_CHECK, on_ended)
 
         def time_out() -> None:
-            if not exchange.over:
+            if not exchange.ended:
                 exchange.abort()
                 on_ended(AttemptResult(Outcome.TIMEOUT))
 
         self._loop.call_later(HEALTH_CHECK_TIMEOUT_S, time_out)
 
     def close_idle_connections(self, backend: int) -> None:
-        """Closes the idle connections to a backend."""
+        """Closes the idle connections to a backend, if it is known."""
         if pool := self._pools.get(backend):
             pool.close_idle(UpstreamCloseReason.IDLE)
 
@@ -149,5 +150,5 @@
 
 
 def _max_idle_connections(fleet_size: int) -> int:
-    """Returns how many idle connections to one backend are kept."""
+    """Returns the maximum number of idle connections to one backend."""
     return min(MAX_IDLE_PER_BACKEND, max(1, MAX_FLEET_IDLE_PER_BACKEND // fleet_size))
--- a/quota_ingress/net/upstream/close_reason.py
+++ b/quota_ingress/net/upstream/close_reason.py
@@ -1,4 +1,4 @@
-"""Why connections to backends end."""
+"""Reasons for closing connections to backends."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class UpstreamCloseReason(Enum):
-    """Why a connection to a backend was closed, or had ended. The values are texts of the event log."""
+    """Why a connection to a backend was closed. The values are written to the event log."""
 
     IDLE = "idle"
-    EVICTED = "evicted"  # its descriptor was needed, or enough others are idle
-    NOT_ALIVE = "not alive"  # at its next use: the backend had ended it, or sent unsolicited data
+    EVICTED = "evicted"  # its descriptor was needed, or there were too many idle connections
+    NOT_ALIVE = "not alive"  # found at reuse: the backend had closed it or sent unsolicited data
     WITHDRAWN = "withdrawn"  # the backend drains, was removed or was restarted
-    ABORTED = "aborted"  # its attempt was given up
-    NOT_AUTHORIZED = "not authorized"  # its attempt might not begin any more
+    ABORTED = "aborted"  # its attempt was aborted
+    NOT_AUTHORIZED = "not authorized"  # its attempt was no longer allowed to begin
     WRITE_FAILED = "write failed"
-    NOT_REUSABLE = "not reusable"  # answered, but the next response could not be distinguished from this one
+    NOT_REUSABLE = "not reusable"  # answered, but the next response could not be told apart from this one
     PROTOCOL_ERROR = "protocol error"
     STALLED = "stalled"
-    BODY_DISCARDED = "body discarded"  # of the request, sent with another attempt and no longer held
-    UNWANTED = "unwanted"  # a long response that nobody reads
+    BODY_DISCARDED = "body discarded"  # request body already sent with another attempt and freed
+    UNWANTED = "unwanted"  # long response that is not to be streamed
     BY_BACKEND = "by backend"
     PROCESS_END = "process end"
--- a/quota_ingress/net/upstream/connection.py
+++ b/quota_ingress/net/upstream/connection.py
@@ -29,7 +29,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool that a connection belongs to."""
+    """The pool that a connection belongs to, as the connection sees it."""
 
     name: str
     address: tuple[str, int]
@@ -38,20 +38,20 @@
     event_log: EventLog
 
     def park_idle(self, connection: UpstreamConnection) -> None:
-        """Keeps it for a further request."""
+        """Keeps the connection for reuse, or closes it."""
 
-    def forget(self, connection: UpstreamConnection) -> None:
-        """Takes it out: it is closed."""
+    def remove(self, connection: UpstreamConnection) -> None:
+        """Removes a closed connection."""
 
     def record_reuse(self, failed: bool) -> None:
-        """Notes whether a connection that was reused ended before any response."""
+        """Records whether a reused connection ended before any byte of a response."""
 
 
 class UpstreamConnection(HttpConnection):
-    """One connection to a backend.
+    """One connection to a backend, which carries one request at a time.
 
-    It uses the socket beside the transport: a send returns how much was written, a peek shows whether the
-    connection is alive, and closing takes effect before anything else is sent.
+    Besides the transport, it uses the socket directly: `send` returns how much was written, a peek shows
+    whether the connection is alive, and a shutdown takes effect before anything else is sent.
     """
 
     reader: ResponseReader
@@ -62,9 +62,9 @@
         self.sock = sock
         self.address = owner.address
         self.exchange: Exchange | None = None
-        self.stream: Body | None = None  # the response's body, once it is being forwarded
+        self.stream: Body | None = None  # the response body while it is being streamed
         self.idle_since = 0.0  # s of the loop's clock
-        self.reused = False  # it has carried another request before this one
+        self.reused = False  # has carried a request before the current one
         self.closed = False
         self._write_paused = False
         self._read_paused = False
@@ -75,9 +75,9 @@
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     def send(self, exchange: Exchange) -> None:
-        """Writes the request, if the attempt may still begin."""
+        """Writes the request if `exchange.authorize` allows it; else closes the connection."""
         after_head = exchange.authorize()
-        if after_head is None or exchange.over:
+        if after_head is None or exchange.ended:
             self.close(UpstreamCloseReason.NOT_AUTHORIZED)
             exchange.finish(AttemptResult(Outcome.NOT_SENT))
             return
@@ -94,7 +94,7 @@
             self.close(UpstreamCloseReason.WRITE_FAILED)
             exchange.fail()
             return
-        if sent < len(data):  # from here on the last byte may be written at any time
+        if sent < len(data):  # from here on, the transport may write the last byte at any time
             self.transport.write(data[sent:])
         if exchange.body is None:
             exchange.written = True
@@ -103,9 +103,9 @@
             self.forward_body()
 
     def forward_body(self) -> None:
-        """Writes the request's body as far as it has been received and as the backend takes it.
+        """Writes the request body as far as it has been received and the backend accepts it.
 
-        One that was complete when it was first sent is kept, for another attempt.
+        A body that was complete when the attempt began is kept for further attempts.
         """
         exchange = self.exchange
         body = exchange.body if exchange else None
@@ -126,16 +126,16 @@
                 body.discard(part.end)
 
     def pause_writing(self) -> None:
-        """Pauses writing: the backend does not take more for now."""
+        """Pauses writing the request body, as the backend does not read."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Resumes writing."""
+        """Resumes writing the request body."""
         self._write_paused = False
         self.forward_body()
 
     def is_alive(self) -> bool:
-        """Returns whether the backend has neither ended the connection nor sent unsolicited data."""
+        """Returns whether the backend has neither closed the connection nor sent unsolicited data."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -145,7 +145,7 @@
         return False
 
     def close(self, reason: UpstreamCloseReason) -> None:
-        """Closes the connection at once, in both directions; nothing more is sent."""
+        """Closes the connection in both directions at once; pending data is not sent."""
         if self.closed:
             return
         self.closed = True
@@ -156,12 +156,12 @@
         body = self.reader.message.body
         if not body.complete and body is not self.stream:
             body.release()
-        self.owner.forget(self)
+        self.owner.remove(self)
 
     def fail_exchange(self, reason: UpstreamCloseReason, result: AttemptResult | None = None) -> None:
-        """Closes the connection, cuts short the response that is being forwarded, and ends the attempt.
+        """Closes the connection, truncates a response being streamed, and ends the attempt.
 
-        Without a `result`, the attempt ends by whether its last byte was written.
+        Without a `result`, the outcome depends on whether the last byte of the request was written.
         """
         exchange = self.exchange
         self.exchange = None
@@ -176,15 +176,18 @@
             exchange.fail()
 
     def is_stalled(self, since: float) -> bool:
-        """Returns whether no byte of a body has moved since, though the backend could have moved it."""
+        """Returns whether the backend has made no progress on a body after `since` (s of the loop's clock).
+
+        Time during which this side does not read the response does not count.
+        """
         exchange = self.exchange
         if exchange is None or exchange.last_progress_at >= since or self._read_paused:
             return False
-        body_untaken = exchange.body is not None and not exchange.written and self._write_paused
-        return body_untaken or self.stream is not None
+        request_body_blocked = exchange.body is not None and not exchange.written and self._write_paused
+        return request_body_blocked or self.stream is not None
 
     def message_received(self, message: Message) -> None:
-        """Handles a response whose head, or more of whose body, has been received."""
+        """Handles a response whose head is complete, or more of whose body has been received."""
         exchange = self.exchange
         body = message.body
         if 100 <= message.status < 200 and exchange:
@@ -197,21 +200,21 @@
         elif body.is_long and message.status == 200 and exchange and exchange.on_stream_started:
             if body.received:
                 self._start_stream(message, exchange, exchange.on_stream_started)
-        elif body.is_long:  # a long response that nobody streams
+        elif body.is_long:  # a long response that is not to be streamed
             result = AttemptResult(Outcome.ERROR) if message.status == 200 else _result_of(message)
             self.fail_exchange(UpstreamCloseReason.UNWANTED, result)
 
     def protocol_error(self, error: FramingError) -> None:
-        """Fails the attempt: the backend is up, and may have run the request."""
-        log.warning("backend %s: answer not understood: %s", self.owner.name, error)
+        """Fails the attempt with ERROR: the backend is up and may have run the request."""
+        log.warning("backend %s: malformed response: %s", self.owner.name, error)
         self.fail_exchange(UpstreamCloseReason.PROTOCOL_ERROR, AttemptResult(Outcome.ERROR))
 
     def eof_received(self) -> None:
-        """The backend ends its sending, which may complete a response without a length."""
+        """Handles the backend's end of stream, which may complete a response of unknown length."""
         self.complete_at_eof()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails the attempt that it carries, if there is one."""
+        """Fails the attempt that the connection carries, if any."""
         super().connection_lost(exc)
         unanswered = not (self.reader.in_message or self.reader.framing_lost)
         if self.reused and self.exchange and unanswered:
@@ -250,10 +253,10 @@
             exchange.finish(result)
 
     def _is_reusable_after(self, message: Message, exchange: Exchange) -> bool:
-        """Returns whether the next response can be distinguished from this one.
+        """Returns whether the next response can be told apart from this one.
 
-        It cannot where the backend answered before it had read the whole request, or sent more than one
-        response: a copy right behind it would be taken for the next request's.
+        It cannot if the backend answered before it had read the whole request, or if it sent more than one
+        response: a duplicate of this response would be taken for the response to the next request.
         """
         reader = self.reader
         sent_more = self._more_messages or reader.in_message or reader.framing_lost
@@ -261,7 +264,7 @@
         return message.keep_alive and not sent_more and not unread_by_backend
 
     def _apply_back_pressure(self) -> None:
-        """Reads no faster than the client takes the response."""
+        """Pauses or resumes reading, so that the response is read no faster than the client reads it."""
         body = self.stream
         if body is None or self.closed:
             return
@@ -277,7 +280,7 @@
 
 
 def _result_of(message: Message) -> AttemptResult:
-    """Maps a response to the attempt's outcome (the protocol's table of what comes back)."""
+    """Maps a response to the attempt's outcome, as in the protocol page's table of responses."""
     headers = message.headers
     load = headers.get(b"server-load", b"")
     if message.status == 200:
@@ -290,4 +293,4 @@
         )
     if message.status in (503, 504) and headers.get(b"not-started") == b"1":
         return AttemptResult(Outcome.REJECTED, load=load)
-    return AttemptResult(Outcome.ERROR, load=load)  # nothing says that it never ran
+    return AttemptResult(Outcome.ERROR, load=load)  # the request may have run
--- a/quota_ingress/net/upstream/exchange.py
+++ b/quota_ingress/net/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend: a request and its response on one connection."""
+"""An exchange: one attempt at a backend, with its request and response on one connection."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 
 ResultCallback = Callable[[AttemptResult], None]
 Authorize = Callable[[], bytes | None]
-"""Asked at the moment of the write: what follows the head, or None if the attempt may not begin any more."""
+"""Called at the time of the write. Returns the data after the head, or None if the attempt may not begin."""
 
 
 def always_authorized() -> bytes:
-    """Allows an attempt, and adds nothing to its head."""
+    """Allows the attempt and adds no data to the head."""
     return b""
 
 
-class Carrier(Protocol):
+class ExchangeConnection(Protocol):
     """The connection that carries an exchange."""
 
     def forward_body(self) -> None:
-        """Writes on the request's body."""
+        """Writes more of the request body."""
 
     def close(self, reason: UpstreamCloseReason) -> None:
-        """Closes the connection at once."""
+        """Closes the connection at once; pending data is not sent."""
 
 
 class Exchange:
-    """An attempt: waits for its connection, is written, is answered. Ends once.
+    """An attempt: it waits for a connection, its request is written, and its response is read.
 
-    `head` is written first, then what `authorize` returns, then `body` as it is received, if it is not part
-    of that. `on_stream_started` is called once with a response too long to be buffered; without it such a
-    response fails.
+    The request consists of `head`, the data returned by `authorize`, and `body` as it is received, unless
+    that data includes the body. `on_ended` is called at most once, with the result; it is not called after
+    `abort`. `on_stream_started` is called once with a response too long to be buffered; without it, such a
+    response fails the attempt.
     """
 
     __slots__ = (
@@ -46,11 +47,11 @@
         "body_offset",
         "connection",
         "dial",
+        "ended",
         "head",
         "keeps_body",
         "last_progress_at",
         "on_stream_started",
-        "over",
         "written",
     )
 
@@ -67,28 +68,32 @@
         self.on_stream_started = on_stream_started
         self.authorize = authorize
         self._on_ended = on_ended
-        self.body_offset = 0  # how far the body has been written
-        self.keeps_body = body is not None and body.complete  # for another attempt
+        self.body_offset = 0  # body offset up to which the body has been written
+        self.keeps_body = body is not None and body.complete  # the body is kept for further attempts
         self.dial: asyncio.Task[None] | None = None
-        self.connection: Carrier | None = None
-        self.written = False  # its last byte may have been
-        self.over = False
-        self.last_progress_at = 0.0  # s of the loop's clock: when some of it was last written or read
+        self.connection: ExchangeConnection | None = None
+        self.written = False  # the last byte of the request may have been written
+        self.ended = False
+        self.last_progress_at = 0.0  # s of the loop's clock: last write or read of a part
 
     def finish(self, result: AttemptResult) -> None:
-        """Ends the attempt, unless it has ended."""
-        if not self.over:
-            self.over = True
+        """Ends the attempt with `result`, unless it has ended."""
+        if not self.ended:
+            self.ended = True
             self._detach_body()
             self._on_ended(result)
 
     def fail(self) -> None:
-        """Ends it without a response: it may have run if its last byte was written."""
+        """Ends the attempt without a response.
+
+        The outcome is RESET if the last byte may have been written, so that the request may have run, and
+        CONNECT_FAILED otherwise.
+        """
         self.finish(AttemptResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
 
     def abort(self) -> bool:
-        """Gives it up, with its connection. Returns whether it may have run."""
-        self.over = True
+        """Aborts the attempt and closes its connection. Returns whether the request may have run."""
+        self.ended = True
         self._detach_body()
         if self.dial:
             self.dial.cancel()
@@ -97,7 +102,7 @@
         return self.written
 
     def withdraw(self) -> bool:
-        """Gives it up unless its last byte has been written. Returns whether it did."""
+        """Aborts the attempt unless its last byte may have been written. Returns whether it was aborted."""
         if not self.written:
             self.abort()
         return not self.written
--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend: idle, busy, and being opened."""
+"""Connection pool of one backend."""
 
 from __future__ import annotations
 
@@ -16,38 +16,41 @@
 from quota_ingress.net.upstream.exchange import Exchange
 from quota_ingress.policy.endpoint_list import EndpointState
 
-REUSE_DELAY_S = 0.02  # after a response: a late copy of it would be taken for the next request's
-REUSE_FAILURE_WEIGHT = 0.02  # of the last reuse in the moving average
+REUSE_DELAY_S = 0.02  # after a response; a late duplicate would be taken for the next response
+REUSE_FAILURE_WEIGHT = 0.02  # weight of the last reuse in the moving average
 
 log = logging.getLogger(__name__)
 
 
 class ReuseFailureRate:
-    """How often reused connections end at the next request, before a byte of a response."""
+    """Moving average of how often reused connections end before any byte of the next response."""
 
     def __init__(self) -> None:
         self.value = 0.0  # moving average, 0 to 1
 
     def record(self, failed: bool) -> None:
-        """Counts one request on a reused connection."""
+        """Adds one request on a reused connection to the average."""
         self.value += REUSE_FAILURE_WEIGHT * (float(failed) - self.value)
 
 
 @dataclass(frozen=True, slots=True)
 class PoolOptions:
-    """What the pools of all backends share."""
+    """Limits and objects shared by the pools of all backends."""
 
     descriptors: DescriptorShare
     budget: MemoryBudget
     reuse_failures: ReuseFailureRate
     event_log: EventLog
-    max_idle_connections: int  # of one backend
+    max_idle_connections: int  # per backend
     idle_timeout_s: float
     connect_timeout_s: float
 
 
 class ConnectionPool:
-    """The connections to one backend. Each counts as a descriptor from its dial until it is closed."""
+    """The connections to one backend: idle, busy, and being opened.
+
+    Each connection holds a descriptor from the start of its dial until it is closed.
+    """
 
     __slots__ = (
         "_loop",
@@ -79,7 +82,10 @@
         self.dials: set[Exchange] = set()
 
     def send(self, exchange: Exchange, new_connection: bool) -> None:
-        """Sends it on an idle connection, or on a new one; `new_connection`: on a new one in any case."""
+        """Sends on an idle connection, or on a new one if there is none or `new_connection` is set.
+
+        The attempt fails if no descriptor is available for a new connection.
+        """
         descriptors = self._options.descriptors
         if not new_connection and (connection := self._take_idle()):
             connection.send(exchange)
@@ -87,13 +93,16 @@
             descriptors.acquire()
             self.dials.add(exchange)
             exchange.dial = self._loop.create_task(self._connect(exchange))
-            exchange.dial.add_done_callback(lambda task: self._dial_done(exchange))
+            exchange.dial.add_done_callback(lambda task: self._clean_up_cancelled_dial(exchange))
         else:
             self.event_log.event("connect", "no descriptor", backend=self.name)
             exchange.fail()
 
     def park_idle(self, connection: UpstreamConnection) -> None:
-        """Keeps a connection for a further request, unless it leads to an earlier life of the backend."""
+        """Keeps a connection for reuse.
+
+        Closes it instead if the backend accepts no requests or has changed its address.
+        """
         self.busy.discard(connection)
         if not (self.accepts_requests and connection.address == self.address):
             connection.close(UpstreamCloseReason.WITHDRAWN)
@@ -103,19 +112,19 @@
         if len(self.idle) > self._options.max_idle_connections:
             self.idle[0].close(UpstreamCloseReason.EVICTED)
 
-    def forget(self, connection: UpstreamConnection) -> None:
-        """Takes out a connection that is closed, and gives its descriptor back."""
+    def remove(self, connection: UpstreamConnection) -> None:
+        """Removes a closed connection and releases its descriptor."""
         self._options.descriptors.release()
         self.busy.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def record_reuse(self, failed: bool) -> None:
-        """Notes whether a connection that was reused ended before any response."""
+        """Records whether a reused connection ended before any byte of a response."""
         self._options.reuse_failures.record(failed)
 
     def close_idle(self, reason: UpstreamCloseReason) -> None:
-        """Closes all idle connections."""
+        """Closes all idle connections, for `reason`."""
         for connection in self.idle[:]:
             connection.close(reason)
 
@@ -127,7 +136,7 @@
         return True
 
     def withdraw(self) -> None:
-        """Closes what is idle, and fails the attempts that wait for a connection: none was written."""
+        """Closes idle connections and fails attempts waiting for one, of which nothing has been written."""
         self.close_idle(UpstreamCloseReason.WITHDRAWN)
         for exchange in list(self.dials):
             if exchange.dial:
@@ -135,19 +144,19 @@
             exchange.fail()
 
     def close_expired(self) -> None:
-        """Closes the connections that have been idle for too long."""
+        """Closes the connections that have exceeded the idle timeout."""
         oldest = self._oldest_usable()
         while self.idle and self.idle[0].idle_since <= oldest:
             self.idle[0].close(UpstreamCloseReason.IDLE)
 
     def fail_stalled(self, since: float) -> None:
-        """Ends the attempts whose body has not moved since (s of the loop's clock)."""
+        """Fails the attempts without progress on a body after `since` (s of the loop's clock)."""
         for connection in [c for c in self.busy if c.is_stalled(since)]:
-            log.warning("backend %s: stuck half way through a body", self.name)
+            log.warning("backend %s: transfer of a request or response body stalled", self.name)
             connection.fail_exchange(UpstreamCloseReason.STALLED)
 
     def close_busy(self, reason: UpstreamCloseReason) -> None:
-        """Closes the connections that carry a request."""
+        """Closes the connections that carry an attempt."""
         for connection in list(self.busy):
             connection.close(reason)
 
@@ -155,11 +164,14 @@
         return self._loop.time() - self._options.idle_timeout_s
 
     def _take_idle(self) -> UpstreamConnection | None:
-        """Takes the most recently used connection that is surely alive; closes those that may be dying."""
+        """Takes the most recently used idle connection that can be reused.
+
+        Skips connections within the reuse delay. Closes expired and dead ones that it comes across.
+        """
         oldest = self._oldest_usable()
-        latest = self.now() - REUSE_DELAY_S
+        latest_reusable = self.now() - REUSE_DELAY_S
         for connection in reversed(self.idle[:]):
-            if connection.idle_since > latest:
+            if connection.idle_since > latest_reusable:
                 continue
             self.idle.remove(connection)
             expired = connection.idle_since <= oldest
@@ -185,25 +197,25 @@
             self.event_log.event("connect", type(error).__name__, backend=self.name)
             exchange.fail()
         finally:
-            self._dial_ended(exchange, sock, connection)
+            self._finish_dial(exchange, sock, connection)
 
-    def _dial_ended(
+    def _finish_dial(
         self, exchange: Exchange, sock: socket.socket | None, connection: UpstreamConnection | None
     ) -> None:
         self.dials.discard(exchange)
         exchange.dial = None
-        if connection is None or not hasattr(connection, "transport"):  # it never came up
+        if connection is None or not hasattr(connection, "transport"):  # not established
             self._options.descriptors.release()
             if sock:
                 sock.close()
-        elif exchange.over:
+        elif exchange.ended:
             connection.close(UpstreamCloseReason.NOT_AUTHORIZED)
         else:
             self.busy.add(connection)
             connection.send(exchange)
 
-    def _dial_done(self, exchange: Exchange) -> None:
-        """Cleans up behind a task that was cancelled before its first step, and so never ran."""
+    def _clean_up_cancelled_dial(self, exchange: Exchange) -> None:
+        """Cleans up after a dial task cancelled before its first step, whose `finally` never ran."""
         if exchange in self.dials:
             self.dials.discard(exchange)
             exchange.dial = None
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -149,7 +149,7 @@
     async with asyncio.timeout(10):
         assert (await ended).outcome is Outcome.NOT_SENT
     await backend.until(lambda: len(backend.closed) == 1)
-    assert exchange.over and asked(backend) == [] and ingress.sockets.backends.in_use == 0
+    assert exchange.ended and asked(backend) == [] and ingress.sockets.backends.in_use == 0
 
 
 async def test_an_attempt_with_a_half_written_body_ends_when_the_client_leaves(
