--- a/quota_ingress/net/downstream/__init__.py
+++ b/quota_ingress/net/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the clients: listening, connections, requests as they are read, draining."""
+"""Client connections: the listener, request parsing, responses, timeouts and draining."""
--- a/quota_ingress/net/downstream/close_reason.py
+++ b/quota_ingress/net/downstream/close_reason.py
@@ -1,4 +1,4 @@
-"""Why clients' connections end."""
+"""Reasons for closing client connections."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class CloseReason(Enum):
-    """Why this side closed a client's connection. The values are texts of the event log."""
+    """Why the ingress closed a client connection. The values are written to the event log."""
 
-    LAST_RESPONSE = "last response"  # the close was announced with the response
+    LAST_RESPONSE = "last response"  # the response announced it with Connection: close
     IDLE = "idle"
     EVICTED = "evicted"  # its descriptor was needed
-    LINGER_TIMEOUT = "linger timeout"  # responded to early, and it went on sending
+    LINGER_TIMEOUT = "linger timeout"  # the client was still sending after its last response
     RESPONSE_UNREAD = "response unread"
-    RESPONSE_TRUNCATED = "response truncated"  # by its backend: the client has to see that it is not whole
+    RESPONSE_TRUNCATED = "response truncated"  # by the backend; only a close tells the client
     CLIENT_LEFT = "client left"
     PROCESS_END = "process end"
 
 
-CLIENTS_OWN_REASONS = frozenset(
+CLIENT_SIDE_REASONS = frozenset(
     {CloseReason.CLIENT_LEFT, CloseReason.RESPONSE_UNREAD, CloseReason.RESPONSE_TRUNCATED}
 )
-"""Reasons that leave no request unanswered that is still owed a response."""
+"""Reasons for which closing with requests unanswered is not a violation."""
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: pipelined requests in, responses out in their order, back-pressure both ways."""
+"""A client connection: reads pipelined requests and writes responses in order, with back-pressure."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import contextlib
 
 from quota_ingress.net.downstream import response
-from quota_ingress.net.downstream.close_reason import CLIENTS_OWN_REASONS, CloseReason
+from quota_ingress.net.downstream.close_reason import CLIENT_SIDE_REASONS, CloseReason
 from quota_ingress.net.downstream.host import ConnectionHost
 from quota_ingress.net.downstream.pipeline import RequestPipeline, must_be_streamed
 from quota_ingress.net.downstream.read_flow import ReadFlow
 from quota_ingress.net.downstream.request_parser import InvalidRequestError, encode_forwarded_head
 from quota_ingress.net.downstream.response_writer import ResponseWriter, StreamState
-from quota_ingress.net.downstream.socket_state import peer_has_left, unread_bytes
+from quota_ingress.net.downstream.socket_state import peer_has_closed, unread_bytes
 from quota_ingress.net.downstream.timeouts import is_body_too_slow
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.net.http import (
@@ -28,14 +28,18 @@
 
 
 class ClientConnection(HttpConnection):
-    """One client connection; answers one request at a time, in order.
+    """One client connection, which answers one request at a time, in order.
 
-    A request waits in the pipeline, then is in hand. Once its body is complete, or too long to wait for, the
-    engine works on it, and calls back with the response.
+    A request waits in the pipeline until it becomes the current one. When its body is complete, or has become
+    too long to buffer, it is passed to the engine, which calls back with the response.
     """
 
     def __init__(self, host: ConnectionHost, queued_since: int | None = None) -> None:
-        """`queued_since`: us, since when it may have waited to be accepted; None: it has not."""
+        """Creates the protocol of a connection that is being accepted.
+
+        `queued_since` (us) is the earliest time at which the connection may have entered the accept queue.
+        None: it has not waited there.
+        """
         super().__init__(RequestReader(host.memory_budget))
         self._host = host
         self._engine = host.engine
@@ -43,17 +47,17 @@
         self._read_flow = ReadFlow(queued_since)
         self._pipeline = RequestPipeline()
         self._writer = ResponseWriter()
-        self._closed_by: CloseReason | None = None  # None while this side has not
-        self._over_limit = False  # of the descriptors for requests: its requests are rejected
+        self._close_reason: CloseReason | None = None  # None until this side closes the connection
+        self._over_limit = False  # accepted above the descriptor limit, so its requests are rejected
         self._message_started_at = 0
         self._last_data_at = 0
         self._keep_alive = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Counts the connection, and notes whether there is capacity for its requests."""
+        """Acquires a descriptor, and determines whether there is capacity for requests."""
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
-        with contextlib.suppress(OSError):  # larger ones than asked for harm nobody
+        with contextlib.suppress(OSError):  # larger buffers than requested are acceptable
             limit_socket_buffers(transport.get_extra_info("socket"))
         self._over_limit = not self._host.descriptors.has_capacity()
         self._host.descriptors.acquire()
@@ -61,20 +65,20 @@
         self._stages.add(self, self._message_started_at)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends what the client had open."""
+        """Releases the descriptor and all requests, and reports the disconnect to the engine."""
         super().connection_lost(exc)
         by_client = "reset by client" if exc else "closed by client"
-        reason = self._closed_by.value if self._closed_by else by_client
+        reason = self._close_reason.value if self._close_reason else by_client
         self._engine.event_log.event("client connection closed", reason)
         self._stages.remove(self)
         self._host.descriptors.release()
         self._release_requests()
         self.reader.message.body.release()
         self._writer.release_body()
-        self._leave_engine()
+        self._report_disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Reads the bytes, unless the last response has been written."""
+        """Parses the bytes, or discards them if the last response has been written."""
         if self in self._stages.lingering:
             return
         self.reader.received_at = self._read_flow.arrival_time(self.transport, self._host.now())
@@ -83,66 +87,66 @@
             self._last_data_at = self._host.now()
 
     def message_started(self) -> None:
-        """Starts the timeout of a request."""
+        """Starts the timeout of a request at its first byte."""
         self._message_started_at = self._host.now()
         self._stages.start_head(self, self._message_started_at)
 
     def message_received(self, message: Message) -> None:
-        """Handles a request whose head, or more of whose body, has been received."""
-        if self.transport.is_closing() or self in self._stages.lingering:  # behind the last response
+        """Handles a request whose head is complete, or more of whose body has been received."""
+        if self.transport.is_closing() or self in self._stages.lingering:  # after the last response
             message.body.release()
         elif message is self._pipeline.current:
             self._advance(message)
         elif message not in self._pipeline.waiting:
             self._pipeline.waiting.append(message)
-            if len(self._pipeline.waiting) == 1 and self._is_free:
+            if len(self._pipeline.waiting) == 1 and self._can_start_request:
                 self._start_next_request()
         self._pause_reading_if_full()
 
     def protocol_error(self, error: FramingError) -> None:
-        """Rejects what cannot be read."""
+        """Rejects a malformed request with the status of the error."""
         self.reject_unreadable(error.status)
 
     def reject_unreadable(self, status: int) -> None:
-        """Ends the connection over a request that cannot be read, or stays incomplete.
+        """Rejects a malformed or incomplete request with `status` and ends the connection.
 
         Complete requests before it are answered first.
         """
         self.reader.framing_lost = True
         self._pipeline.drop_incomplete()
-        in_hand = self._pipeline.engine_has_complete_request
-        if self._writer.body is not None or self._pipeline.waiting or in_hand:
+        has_complete_request = self._pipeline.engine_has_complete_request
+        if self._writer.body is not None or self._pipeline.waiting or has_complete_request:
             return
-        self._leave_engine()
+        self._report_disconnect()
         if not self.transport.is_closing() and self not in self._stages.lingering:
             self._write_response(status, b"", b"not understood\n")
 
     def eof_received(self) -> None:
-        """Handles a half-close as a disconnect: unread responses may hold up the full close."""
-        self._leave_engine()
+        """Treats a half-close as a disconnect, as unread responses may delay the full close."""
+        self._report_disconnect()
 
     def pause_writing(self) -> None:
-        """Pauses responding: the client does not read."""
+        """Pauses writing responses, as the client does not read."""
         self._writer.paused = True
         self._stages.write_blocked[self] = self._host.now()
 
     def resume_writing(self) -> None:
-        """Resumes responding."""
+        """Resumes writing responses and handling requests."""
         self._writer.paused = False
         self._stages.write_blocked.pop(self, None)
         self._forward_response_body()
         self._resume()
 
-    # For the host: timeouts, eviction, shutdown.
+    # Called for timeouts, eviction and shutdown.
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request has begun and is not answered."""
-        open_request = bool(self._pipeline.waiting) or self.reader.in_message or self._has_request_in_hand
+        """Whether a request has begun and has not been answered."""
+        open_request = bool(self._pipeline.waiting) or self.reader.in_message or self._has_current_request
         return open_request and self not in self._stages.lingering
 
     def is_too_slow(self, now: int) -> bool:
-        """Whether a body arrives more slowly than any client sends, or has stopped."""
+        """Whether the body of the current request arrives too slowly or has stalled."""
         current = self._pipeline.current
         if current is None or self._read_flow.paused:
             return False
@@ -150,56 +154,56 @@
         return is_body_too_slow(received, self._message_started_at, self._last_data_at, now)
 
     def is_stalled(self, before: int) -> bool:
-        """Whether it began a head, and has sent nothing more since before that moment (us)."""
+        """Whether a head is incomplete, with no byte received since `before` (us) and none unread."""
         in_head = self.reader.in_message and not (self._pipeline.waiting or self._pipeline.has_current)
         if not in_head or self.transport.is_closing():
             return False
         return self._last_data_at < before and not unread_bytes(self.transport)
 
-    def note_read_progress(self, now: int) -> None:
-        """Notes whether the client has read on since the last call."""
-        closing = self.transport.is_closing()  # then its descriptor may be another connection's already
-        if not closing and self._writer.client_has_read_on(self.transport):
+    def update_read_progress(self, now: int) -> None:
+        """Restarts the unread-response timeout if the client has read more since the last call."""
+        closing = self.transport.is_closing()  # its descriptor may then belong to another connection
+        if not closing and self._writer.client_has_read_more(self.transport):
             self._stages.write_blocked[self] = now
 
     def close_if_idle(self, reason: CloseReason = CloseReason.IDLE) -> bool:
-        """Closes it between requests, but not if one waits unread. Returns whether it did."""
+        """Closes the connection unless a request is open or unread. Returns whether it was closed."""
         if self.is_busy or self.transport.is_closing() or unread_bytes(self.transport):
             return False
-        self._stages.leave_quiet_stages(self)
+        self._stages.leave_inactive_stages(self)
         self._close(reason)
         return True
 
     def evict_incomplete(self) -> None:
-        """Closes it in the middle of a head."""
-        self._stages.leave_quiet_stages(self)
+        """Closes the connection in the middle of a request head."""
+        self._stages.leave_inactive_stages(self)
         self._close(CloseReason.EVICTED)
 
     def abort(self, reason: CloseReason) -> None:
-        """Closes it at once, with what is still to be written."""
-        self._note_close(reason)
+        """Closes the connection at once and discards unwritten data."""
+        self._record_close(reason)
         self.transport.abort()
 
-    # For the engine: the response.
+    # Called by the engine.
 
     def disconnected(self) -> bool:
-        """Returns whether the client has left, as the socket shows now."""
-        return self.transport.is_closing() or peer_has_left(self.transport)
+        """Returns whether the client has disconnected, according to the current state of the socket."""
+        return self.transport.is_closing() or peer_has_closed(self.transport)
 
     def respond(self, answer: AttemptResult) -> None:
-        """Sends a backend's whole response."""
+        """Sends a backend's complete response."""
         headers = response.content_type_field(answer.content_type)
         self._write_response(200, headers, answer.body, answer.declared_length)
 
     def stream_response(self, answer: AttemptResult) -> None:
-        """Forwards a response too long to be buffered, as it comes and as the client reads it."""
+        """Starts forwarding a response that is too long to be buffered, at the pace of the client."""
         body = answer.stream
         assert body is not None
         current = self._pipeline.current
         is_http_1_0 = current is not None and current.is_http_1_0
         body.chunked = body.declared_length is None and not is_http_1_0
         if is_http_1_0 and body.declared_length is None:
-            self._keep_alive = False  # in HTTP/1.0 only the connection's end marks its end
+            self._keep_alive = False  # in HTTP/1.0 such a body is delimited by the end of the connection
         self._keep_alive = self._can_keep_alive()
         self._writer.start_stream(body)
         head = response.encode_stream_head(answer.content_type, body, self._keep_alive)
@@ -208,47 +212,48 @@
         self._forward_response_body()
 
     def reject(self, retry_after: int, status: int = 429) -> None:
-        """Sends a rejection; `retry_after`: us, 0 for no advice."""
+        """Sends a rejection. `retry_after` is in us; 0 omits Retry-After."""
         self._write_response(status, response.retry_after_field(retry_after), b"refused\n")
 
     def fail(self, timed_out: bool) -> None:
-        """Sends a failure, which says nothing of effects."""
+        """Sends 504 if the request timed out, else 502. The request may or may not have run."""
         self._write_response(504 if timed_out else 502, b"", b"failed\n")
 
     # Reading.
 
     def _pause_reading_if_full(self) -> None:
         if not self._read_flow.paused and self._pipeline.is_full() and not self.transport.is_closing():
-            self._read_flow.pause(self.transport, self._host.now(), self._abort_as_client_left)
+            self._read_flow.pause(self.transport, self._host.now(), self._abort_after_disconnect)
 
     def _resume_reading_if_drained(self) -> None:
         if self._read_flow.paused and self._pipeline.is_drained() and not self.transport.is_closing():
             self._last_data_at = self._host.now()
-            self._message_started_at += self._last_data_at - self._read_flow.paused_at  # not the client's
+            # The time of the pause does not count towards the client's timeout.
+            self._message_started_at += self._last_data_at - self._read_flow.paused_at
             self._read_flow.resume(self.transport)
 
-    def _abort_as_client_left(self) -> None:
+    def _abort_after_disconnect(self) -> None:
         self.abort(CloseReason.CLIENT_LEFT)
 
-    # Requests in their order.
+    # Requests, in order.
 
     @property
-    def _has_request_in_hand(self) -> bool:
+    def _has_current_request(self) -> bool:
         return self._pipeline.has_current or self._writer.body is not None
 
     @property
-    def _is_free(self) -> bool:
-        return not self._has_request_in_hand and self not in self._stages.write_blocked
+    def _can_start_request(self) -> bool:
+        return not self._has_current_request and self not in self._stages.write_blocked
 
-    def _more_has_come(self) -> bool:
-        """Returns whether anything follows the request in hand: read, about to be delivered, or unread."""
+    def _has_more_input(self) -> bool:
+        """Returns whether data after the current request has been parsed or is unread in the socket."""
         if self._pipeline.waiting or self._more_messages:
             return True
         return not self.transport.is_closing() and unread_bytes(self.transport) > 0
 
     def _start_next_request(self) -> None:
         message = self._pipeline.take_next()
-        self._keep_alive = message.keep_alive and (not self._over_limit or self._more_has_come())
+        self._keep_alive = message.keep_alive and (not self._over_limit or self._has_more_input())
         self._stages.start_request(self)
         if message.target.partition(b"?")[0] == HEALTH_CHECK_PATH:
             up = self._host.in_service
@@ -259,11 +264,11 @@
             self._advance(message)
 
     def _parse(self, message: Message) -> bool:
-        """Reads the head; rejects the request where it is invalid. Returns whether it is valid."""
+        """Parses the head, and rejects an invalid request. Returns whether the request is valid."""
         try:
             self._pipeline.parsed = self._host.request_parser.parse(message)
         except InvalidRequestError as error:
-            self._keep_alive = self._keep_alive and self._more_has_come()  # that is answered, too
+            self._keep_alive = self._keep_alive and self._has_more_input()  # to answer requests already sent
             self._write_response(error.status, b"", str(error).encode() + b"\n")
             return False
         self._stages.accept_first_request(self)
@@ -274,7 +279,7 @@
         return True
 
     def _advance(self, message: Message) -> None:
-        """Hands the request to the engine, once its body is complete or too long to wait for."""
+        """Passes the request to the engine when its body is complete or has become too long to buffer."""
         body = message.body
         length_became_known = body.complete and self in self._stages.receiving_body
         if length_became_known:
@@ -287,8 +292,8 @@
         parsed = self._pipeline.parsed
         if parsed is None or not (body.complete or must_be_streamed(body)):
             return
-        if peer_has_left(self.transport):  # while the request waited in the accept queue or the pipeline
-            self._abort_as_client_left()
+        if peer_has_closed(self.transport):  # while the request waited in the accept queue or the pipeline
+            self._abort_after_disconnect()
             return
         parsed.received_at = message.completed_at if body.complete else self._host.now()
         if length_became_known:
@@ -299,21 +304,21 @@
         if not self._engine.on_request(parsed, self):
             self._write_response(409, b"", b"a request with this Request-Id is under way\n")
 
-    def _leave_engine(self) -> None:
-        """Tells the engine that the client of its request has left."""
+    def _report_disconnect(self) -> None:
+        """Reports to the engine that the client of its request, if any, has disconnected."""
         if self._pipeline.engine_request_id is not None:
             request_id = self._pipeline.engine_request_id
             self._pipeline.engine_request_id = None
             self._engine.on_disconnect(request_id)
 
     def _release_requests(self) -> None:
-        """Frees all requests: nobody will read them."""
+        """Frees all requests, which will not be answered."""
         self._pipeline.release_all()
         self._stages.receiving_body.discard(self)
 
     def _resume(self) -> None:
-        """Goes on with the pipeline, but not while the client leaves its responses unread."""
-        if self.transport.is_closing() or self in self._stages.lingering or not self._is_free:
+        """Starts the next waiting request, unless a request is open or the client does not read."""
+        if self.transport.is_closing() or self in self._stages.lingering or not self._can_start_request:
             return
         if self._pipeline.waiting:
             self._start_next_request()
@@ -326,10 +331,13 @@
             return False
         if self.reader.framing_lost and not self._pipeline.waiting:
             return False
-        return not self._host.is_draining or self._more_has_come()  # which is answered first
+        return not self._host.is_draining or self._has_more_input()  # to answer requests already sent
 
     def _write_response(self, status: int, headers: bytes, body: bytes, declared_length: bytes = b"") -> None:
-        """Writes a whole response. `declared_length`: of the body that a response to HEAD does not have."""
+        """Writes a complete response.
+
+        `declared_length` is the Content-Length of a 200 response to HEAD, which has no body.
+        """
         self._pipeline.engine_request_id = None
         self._keep_alive = self._can_keep_alive()
         length = b"%d" % len(body)
@@ -342,14 +350,14 @@
 
     def _forward_response_body(self) -> None:
         state = self._writer.forward(self.transport)
-        if state is StreamState.TRUNCATED:  # without its last byte or chunk, the client can tell
+        if state is StreamState.TRUNCATED:  # the client detects the missing last byte or chunk
             self.abort(CloseReason.RESPONSE_TRUNCATED)
         elif state is StreamState.COMPLETE:
             self._pipeline.engine_request_id = None
             self._finish_response()
 
     def _finish_response(self) -> None:
-        """Goes on with the next request, or ends the connection."""
+        """Continues with the next request, or ends the connection."""
         if not self._keep_alive:
             self._end_after_last_response()
             return
@@ -365,9 +373,9 @@
         self._resume_reading_if_drained()
 
     def _end_after_last_response(self) -> None:
-        """Closes the connection, after a while if the client is still sending.
+        """Closes the connection, or lets it linger if the client is still sending.
 
-        Closing over unread bytes would reset the connection, and with it a response that is not read yet.
+        Closing a socket with unread bytes resets the connection, and the client could lose the response.
         """
         in_message = self.reader.framing_lost or self.reader.in_message
         still_sending = in_message or not self._pipeline.current_is_complete
@@ -375,7 +383,7 @@
             self._close(CloseReason.LAST_RESPONSE)
             self._release_requests()
             return
-        self._note_close(CloseReason.LAST_RESPONSE)
+        self._record_close(CloseReason.LAST_RESPONSE)
         self._release_requests()
         self._stages.start_lingering(self, self._host.now())
         self.transport.write_eof()
@@ -383,16 +391,16 @@
             self._read_flow.resume(self.transport)
 
     def _close(self, reason: CloseReason) -> None:
-        """Closes it once all has been written."""
-        self._note_close(reason)
+        """Closes the connection when all pending data has been written."""
+        self._record_close(reason)
         self.transport.close()
 
-    def _note_close(self, reason: CloseReason) -> None:
-        if self._closed_by is not None or self.transport.is_closing():
+    def _record_close(self, reason: CloseReason) -> None:
+        if self._close_reason is not None or self.transport.is_closing():
             return
-        self._closed_by = reason
+        self._close_reason = reason
         unanswered = self._pipeline.count_unanswered()
-        if reason not in CLIENTS_OWN_REASONS and unanswered:
+        if reason not in CLIENT_SIDE_REASONS and unanswered:
             self._engine.event_log.violation(
                 "request closed unanswered", reason=reason.value, requests=unanswered
             )
--- a/quota_ingress/net/downstream/eviction.py
+++ b/quota_ingress/net/downstream/eviction.py
@@ -1,33 +1,34 @@
-"""Chooses the client connection that makes room where descriptors are short."""
+"""Selects the client connection to close when descriptors run out."""
 
 from __future__ import annotations
 
 from itertools import chain
 
 from quota_ingress.net.downstream.close_reason import CloseReason
-from quota_ingress.net.downstream.stages import ConnectionStages, in_stage_since_before
+from quota_ingress.net.downstream.stages import ConnectionStages, entered_before
 from quota_ingress.net.downstream.timeouts import US_PER_S
 
-STALL_TIMEOUT_S = 0.7  # without a byte more of a head: slow clients send on, in pieces
-FIRST_REQUEST_GRACE_US = 250_000  # from connecting: an honest client's first request is on its way
-MAX_PROTECTED_SILENT = 4  # connections in that time; of a larger crowd none is protected
+STALL_TIMEOUT_S = 0.7  # without a further byte of a head; slow clients send heads in pieces
+FIRST_REQUEST_GRACE_US = 250_000  # from connecting; a legitimate client's first request is on its way
+MAX_PROTECTED_SILENT = 4  # with more connections awaiting a first request, none gets the grace period
 
 
 def evict_one(stages: ConnectionStages, now: int) -> bool:
-    """Closes one connection at the moment `now` (us). Returns whether there was one to close.
+    """Closes one connection at the time `now` (us). Returns whether one could be closed.
 
-    Those that have had their last response go first, then those that say nothing, those that stopped in the
-    middle of a head, and the longest idle; none with a request unread. Fresh connections that say nothing
-    go last, unless there is a crowd of them.
+    The order of eviction is: connections that have had their last response, connections that have sent
+    nothing, connections that stalled in the middle of a head, and the longest idle. Connections with an
+    unread request are never evicted. New connections that have sent nothing are evicted last, unless there
+    are more than MAX_PROTECTED_SILENT of them.
     """
     if stages.lingering:
-        longest = next(iter(stages.lingering))
-        del stages.lingering[longest]
-        longest.abort(CloseReason.LINGER_TIMEOUT)
+        longest_lingering = next(iter(stages.lingering))
+        del stages.lingering[longest_lingering]
+        longest_lingering.abort(CloseReason.LINGER_TIMEOUT)
         return True
     silent = list(stages.awaiting_first_request)
     if len(silent) <= MAX_PROTECTED_SILENT:
-        silent = in_stage_since_before(stages.awaiting_first_request, now - FIRST_REQUEST_GRACE_US)
+        silent = entered_before(stages.awaiting_first_request, now - FIRST_REQUEST_GRACE_US)
     if any(connection.close_if_idle(CloseReason.EVICTED) for connection in silent):
         return True
     if _evict_stalled(stages, now):
--- a/quota_ingress/net/downstream/host.py
+++ b/quota_ingress/net/downstream/host.py
@@ -1,4 +1,4 @@
-"""What all client connections share, as each of them sees it."""
+"""Interface through which client connections use what they share."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class ConnectionHost(Protocol):
-    """The listener, which client connections belong to."""
+    """The listener, as its client connections see it."""
 
     engine: Engine
     memory_budget: MemoryBudget
     descriptors: DescriptorShare
     request_parser: RequestParser
     stages: ConnectionStages
-    max_idle: int  # connections
-    now: Callable[[], int]  # us
+    max_idle: int  # maximum number of idle connections
+    now: Callable[[], int]  # process clock in us
 
     @property
     def in_service(self) -> bool:
@@ -29,4 +29,4 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections end with their responses."""
+        """Whether connections are closed after their current responses."""
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener: accepts connections, holds what they share, and drains them at the end."""
+"""The client listener: accepts connections, holds the state they share, and drains them."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from quota_ingress.net.http import MemoryBudget
 
 SWEEP_INTERVAL_S = 0.25
-CAPACITY_CHECK_INTERVAL_S = 0.01  # between looks for capacity while the backlog is accepted at the end
-MIN_MAX_IDLE = 4
-MAX_IDLE_FRACTION = 0.25  # of the clients' descriptors: clients, too, have only so many connections
+CAPACITY_CHECK_INTERVAL_S = 0.01  # while the backlog is accepted at shutdown
+MIN_MAX_IDLE = 4  # lower bound of `max_idle`
+MAX_IDLE_FRACTION = 0.25  # of the client descriptors; clients have a limited number of connections, too
 
 
 class Listener:
-    """Accepts clients' connections, and is the host of all of them.
+    """Accepts client connections and is their `ConnectionHost`.
 
     Attributes:
-        stages: The open connections by what they wait for.
-        hard_limit: Connections above which clients wait in the accept queue, unread.
-        max_idle: Idle connections above which the longest idle is closed.
-        stopping: The process ends, or another one accepts.
-        handed_over: Another process accepts.
-        out_of_service: Operators have taken this ingress out of service, until they put it back.
+        stages: The open connections by stage.
+        hard_limit: Number of connections above which further clients wait, unread, in the accept queue.
+        max_idle: Number of idle connections above which the longest idle one is closed.
+        stopping: The process is ending, or another process accepts connections.
+        handed_over: Another process accepts connections.
+        out_of_service: Operators have taken this ingress out of service and not put it back.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         now: Callable[[], int],
         memory_budget: MemoryBudget | None = None,
     ) -> None:
-        """Accepts nothing until `listen`. `now` is the process's clock in us."""
+        """Creates a listener that accepts nothing until `listen`. `now` is the process clock in us."""
         self.engine = engine
         self.memory_budget = memory_budget or MemoryBudget()
         self.descriptors = descriptor_budget.clients
@@ -67,28 +67,28 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether this process accepts connections, now or as soon as there is capacity."""
+        """Whether this process accepts connections, now or when capacity becomes available."""
         return self._acceptor is not None and not self.handed_over
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections end with their responses."""
+        """Whether connections are closed after their current responses."""
         return self.stopping or self.out_of_service
 
     @property
     def in_service(self) -> bool:
         """Whether health checks are answered with 200.
 
-        They are while another process accepts: a 503 on a connection that is left here would take the whole
-        ingress out of service.
+        They are also answered with 200 while another process accepts connections. A 503 on a connection
+        that remains in this process would take the whole ingress out of service.
         """
         return not self.out_of_service and (not self.stopping or self.handed_over)
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> int:
-        """Accepts connections from now on. Returns the port.
+        """Starts accepting connections. Returns the port.
 
-        `inherited`: the descriptor of a socket that listens already and that others hold, too. It is copied,
-        so closing the copy ends nothing for them.
+        `inherited` is the descriptor of a listening socket that other processes hold, too. It is duplicated,
+        so closing it here does not affect them.
         """
         listening = await listening_socket(host, port, inherited)
         self._acceptor = Acceptor(
@@ -100,53 +100,53 @@
         return bound_port
 
     def pause_accepting(self) -> None:
-        """Leaves what connects from now on in the accept queue."""
+        """Leaves new connections in the accept queue."""
         if self._acceptor:
             self._acceptor.pause()
 
     def resume_accepting(self) -> None:
-        """Accepts again, if this process is the one that does and there is capacity."""
+        """Accepts connections again, unless another process does or there is no capacity."""
         if self._acceptor and not self.handed_over and self._has_capacity(0):
             self._acceptor.start()
 
     def stop_listening(self) -> None:
-        """Accepts nothing more. Open connections are left to end, or to ask: a request may be on its way."""
+        """Closes the listening socket. Open connections remain, as a request may be on its way on them."""
         if self._acceptor:
             self._acceptor.close()
             self._acceptor = None
 
     def hand_over(self) -> None:
-        """Another process accepts from now on, from the same queue; what was accepted here ends here."""
+        """Stops accepting, as another process accepts from the same queue. Open connections are drained."""
         self.handed_over = True
         self.stopping = True
         self.pause_accepting()
 
     def resume_serving(self) -> None:
-        """Accepts again: the process that took over is gone."""
+        """Undoes `hand_over` after the process that took over has ended."""
         self.handed_over = False
         self.stopping = False
         self.resume_accepting()
 
-    def set_out_of_service(self, out: bool) -> None:
-        """Takes the ingress out of service, or puts it back. It goes on accepting, unlike at a shutdown."""
-        self.out_of_service = out
+    def set_out_of_service(self, out_of_service: bool) -> None:
+        """Takes the ingress out of service or puts it back. Unlike at shutdown, it continues to accept."""
+        self.out_of_service = out_of_service
 
     def begin_shutdown(self) -> None:
-        """Begins to drain: idle connections are closed now, the others after their response."""
+        """Begins to drain: closes idle connections now, and the others after their current responses."""
         self.stopping = True
         for connection in list(self.stages.idle):
             connection.close_if_idle()
 
-    async def accept_backlog(self, until: float) -> None:
-        """Accepts all that wait in the queue, as closing it would reset them, requests and all.
+    async def accept_backlog(self, deadline: float) -> None:
+        """Accepts the connections in the accept queue, as closing the socket would reset them.
 
-        Where there is no capacity, they wait for it, until that moment of the loop's clock at the longest.
+        Without capacity, waits for it until `deadline` (s of the loop's clock) at the latest.
         """
         if self._acceptor:
-            await self._acceptor.drain_queue(until, CAPACITY_CHECK_INTERVAL_S)
+            await self._acceptor.drain_queue(deadline, CAPACITY_CHECK_INTERVAL_S)
 
     def close_remaining(self) -> None:
-        """Ends what has no request open: the silent are closed, those in the middle of a head get a 408."""
+        """Closes connections without an open request; those with an incomplete head get a 408."""
         for connection in list(self.connections):
             if connection.is_busy and connection.is_stalled(self.now()):
                 connection.reject_unreadable(REQUEST_TIMEOUT_STATUS)
@@ -162,14 +162,18 @@
             connection.abort(CloseReason.PROCESS_END)
 
     def _new_connection(self, queued_since: float | None) -> ClientConnection:
-        """Makes the protocol of a connection. `queued_since`: s of the loop's clock, or None."""
+        """Creates the protocol of a connection.
+
+        `queued_since` (s of the loop's clock) is the earliest time at which the connection may have entered
+        the accept queue. None: it has not waited there.
+        """
         if queued_since is None:
             return ClientConnection(self)
         queued_s = asyncio.get_running_loop().time() - queued_since
         return ClientConnection(self, self.now() - int(queued_s * US_PER_S))
 
-    def _has_capacity(self, opening: int) -> bool:
-        return self.descriptors.in_use + opening < self.hard_limit
+    def _has_capacity(self, pending: int) -> bool:
+        return self.descriptors.in_use + pending < self.hard_limit
 
     def _evict(self) -> bool:
         return evict_one(self.stages, self.now())
@@ -177,5 +181,5 @@
     def _sweep(self) -> None:
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.now()
-        self._delay_monitor.note_call(now)
+        self._delay_monitor.record_call(now)
         enforce_timeouts(self.stages, now, self.is_draining)
--- a/quota_ingress/net/downstream/pipeline.py
+++ b/quota_ingress/net/downstream/pipeline.py
@@ -1,4 +1,4 @@
-"""The requests of one client connection, in their order."""
+"""The pipelined requests of one client connection, in order."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from quota_ingress.net.engine.requests import ParsedRequest
 from quota_ingress.net.http import BODY_BUFFER_BYTES, Body, Message
 
-MAX_PIPELINED_REQUESTS = 8  # behind the one in hand; reading pauses above it
-MAX_BUFFERED_REQUEST_BYTES = 1024 * 1024  # a longer body is streamed; so is one above the memory budget
+MAX_PIPELINED_REQUESTS = 8  # waiting behind the current one; with more, reading pauses
+MAX_BUFFERED_REQUEST_BYTES = 1024 * 1024  # longer bodies are streamed
 
 
 class RequestPipeline:
-    """One request in hand, and those that wait behind it.
+    """The current request of a connection, and the requests waiting behind it.
 
     Attributes:
-        waiting: Requests with a complete head, behind the one in hand.
-        current: The request in hand; its body may be incomplete.
-        parsed: What has been read of its head, once that has been found valid.
-        engine_request_id: Its id, while the engine works on it.
+        waiting: Requests with a complete head that wait for the current one to be answered.
+        current: The request being handled; its body may be incomplete.
+        parsed: The current request as parsed from a valid head; None before that.
+        engine_request_id: The id of the current request while the engine handles it.
     """
 
     __slots__ = ("current", "engine_request_id", "parsed", "waiting")
@@ -31,54 +31,58 @@
 
     @property
     def has_current(self) -> bool:
-        """Whether a request is in hand, here or with the engine."""
+        """Whether a request is being handled, by this connection or by the engine."""
         return self.current is not None or self.engine_request_id is not None
 
     @property
     def current_is_complete(self) -> bool:
-        """Whether the request in hand, if there is one, is complete."""
+        """Whether there is no current request, or its body is complete."""
         return self.current is None or self.current.body.complete
 
     @property
     def engine_has_complete_request(self) -> bool:
-        """Whether the engine works on a complete request."""
+        """Whether the engine is handling a request whose body is complete."""
         return self.engine_request_id is not None and self.current_is_complete
 
     def is_full(self) -> bool:
-        """Whether reading should pause: many requests wait, or much of a body that is streamed."""
+        """Whether reading should pause.
+
+        It should if too many requests wait, if one of them has a long body, or if too much of the body that
+        is being streamed is buffered.
+        """
         return self._exceeds(MAX_PIPELINED_REQUESTS, BODY_BUFFER_BYTES)
 
     def is_drained(self) -> bool:
-        """Whether reading should go on after a pause."""
+        """Whether reading should resume after a pause: at most half of the limits is in use."""
         return not self._exceeds(MAX_PIPELINED_REQUESTS // 2, BODY_BUFFER_BYTES // 2)
 
     def take_next(self) -> Message:
-        """Takes the first request that waits in hand."""
+        """Makes the first waiting request the current one and returns it."""
         self.current = self.waiting.popleft()
         self.parsed = None
         return self.current
 
     def finish_current(self) -> None:
-        """Frees the request in hand, which has its response."""
+        """Frees the current request after its response."""
         if self.current:
             self.current.body.release()
         self.current = None
         self.parsed = None
 
     def drop_incomplete(self) -> None:
-        """Drops the last request that waits, if it is incomplete and will stay so."""
+        """Drops the last waiting request if its body is incomplete, as the rest will not be read."""
         if self.waiting and not self.waiting[-1].body.complete:
             self.waiting.pop().body.release()
 
     def release_all(self) -> None:
-        """Frees all requests: nobody will read them."""
+        """Frees the current and all waiting requests, which will not be answered."""
         for message in self.waiting:
             message.body.release()
         self.waiting.clear()
         self.finish_current()
 
     def count_unanswered(self) -> int:
-        """Counts the complete requests that have no response."""
+        """Returns the number of complete requests without a response."""
         return int(self.engine_has_complete_request) + sum(m.body.complete for m in self.waiting)
 
     def _exceeds(self, max_requests: int, max_body_bytes: int) -> bool:
@@ -91,7 +95,10 @@
 
 
 def must_be_streamed(body: Body) -> bool:
-    """Returns whether a request's body has grown too long to be buffered whole."""
+    """Returns whether a request body is too long to be buffered.
+
+    It is if it exceeds MAX_BUFFERED_REQUEST_BYTES, or BODY_BUFFER_BYTES while the memory budget is exhausted.
+    """
     if body.received <= BODY_BUFFER_BYTES:
         return False
     return body.received > MAX_BUFFERED_REQUEST_BYTES or body.budget.is_exhausted
--- a/quota_ingress/net/downstream/process_delay.py
+++ b/quota_ingress/net/downstream/process_delay.py
@@ -1,4 +1,4 @@
-"""Distinguishes a process that was held up by the machine from one that was busy."""
+"""Detects event loop delays, with data to tell a busy process from one that was not scheduled."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class ProcessDelayMonitor:
-    """Notes in the event log when a periodic call is late, with the processor time that was used."""
+    """Records late periodic calls in the event log, with the processor time used since the last call.
+
+    Little processor time during a delay shows that the machine did not run the process.
+    """
 
     def __init__(self, event_log: EventLog, interval_us: int) -> None:
         self._event_log = event_log
@@ -19,8 +22,8 @@
         self._last_call_at: int | None = None  # us
         self._last_cpu_s = 0.0
 
-    def note_call(self, now: int) -> None:
-        """Notes the periodic call at the moment `now` (us)."""
+    def record_call(self, now: int) -> None:
+        """Records the periodic call at the time `now` (us), and an event if it is late."""
         cpu_s = time.process_time()
         if self._last_call_at is not None:
             late = now - self._last_call_at - self._interval_us
--- a/quota_ingress/net/downstream/read_flow.py
+++ b/quota_ingress/net/downstream/read_flow.py
@@ -1,36 +1,39 @@
-"""Pauses and resumes reading from a client, and dates what is read by its arrival."""
+"""Pauses and resumes reading from a client, and determines when the data read arrived."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from quota_ingress.net.downstream.socket_state import peer_has_left, time_since_last_data_us, unread_bytes
+from quota_ingress.net.downstream.socket_state import peer_has_closed, time_since_last_data_us, unread_bytes
 
 CLIENT_LEFT_CHECK_INTERVAL_S = 0.1  # while reading is paused
 
 
 class ReadFlow:
-    """The reading side of one client connection. Moments are us of the process's clock.
+    """The reading side of one client connection. Times are us of the process clock.
 
     Attributes:
-        paused: Nothing is read for now (back-pressure).
-        paused_at: When the last pause began.
+        paused: Reading is paused for back-pressure.
+        paused_at: Start of the last pause.
     """
 
     __slots__ = ("_catching_up", "_queued_since", "paused", "paused_at")
 
     def __init__(self, queued_since: int | None) -> None:
-        """Starts unpaused; `queued_since`: since when the connection may have waited to be accepted."""
+        """Starts unpaused.
+
+        `queued_since` is the earliest time at which the connection may have entered the accept queue.
+        """
         self._queued_since = queued_since
-        self._catching_up = False  # what arrived during a pause is not all read yet
+        self._catching_up = False  # data that arrived during a pause has not all been read
         self.paused = False
         self.paused_at = 0
 
     def arrival_time(self, transport: asyncio.Transport, now: int) -> int:
-        """Returns when the data that has just been read arrived at this machine, at the earliest.
+        """Returns the earliest time at which the data just read may have arrived at this machine.
 
-        It may have waited while reading was paused, or for the connection to be accepted.
+        The data may have waited while reading was paused, or until the connection was accepted.
         """
         if self._catching_up:
             self._catching_up = unread_bytes(transport) > 0
@@ -43,14 +46,14 @@
         return earliest if age is None else max(earliest, now - age)
 
     def pause(self, transport: asyncio.Transport, now: int, on_client_left: Callable[[], None]) -> None:
-        """Reads nothing until `resume`, and calls `on_client_left` if the client leaves meanwhile."""
+        """Pauses reading until `resume`. Calls `on_client_left` if the client disconnects meanwhile."""
         self.paused = True
         self.paused_at = now
         transport.pause_reading()
         self._schedule_client_check(transport, on_client_left)
 
     def resume(self, transport: asyncio.Transport) -> None:
-        """Reads again."""
+        """Resumes reading; data that is unread now is dated to the start of the pause."""
         self.paused = False
         self._catching_up = True
         transport.resume_reading()
@@ -65,10 +68,10 @@
     def _check_client(
         self, transport: asyncio.Transport, on_client_left: Callable[[], None], paused_at: int
     ) -> None:
-        """Looks for the client's end, which is not read during a pause either."""
+        """Polls the socket for a disconnect, which the transport does not report while reading is paused."""
         if not self.paused or self.paused_at != paused_at or transport.is_closing():
             return
-        if peer_has_left(transport):
+        if peer_has_closed(transport):
             on_client_left()
         else:
             self._schedule_client_check(transport, on_client_left)
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""Reads clients' requests by the protocol page, and encodes what is forwarded of them."""
+"""Validates clients' requests as the protocol page specifies, and encodes the head forwarded to backends."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 MAX_CUSTOMER = 1 << 33
 METHODS = (b"GET", b"HEAD", b"POST")
 US_PER_MS = 1000
-MAX_TIMEOUT_DEADLINES = 2  # no client waits past the class's deadline; a little more is tolerated
+MAX_TIMEOUT_DEADLINES = 2  # clients wait up to the class's deadline; up to this multiple is tolerated
 
 
 class InvalidRequestError(Exception):
-    """A request that is invalid. `status` is the 4xx of the response that carries the message."""
+    """An invalid request. `status` is the 4xx status code of the response, whose body is the message."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -33,7 +33,7 @@
 
 
 class QuotaHeader(NamedTuple):
-    """The parts of X-Quota."""
+    """The fields of the X-Quota header: `units`, `spread` and `first`."""
 
     units: float
     gateway_count: int
@@ -41,7 +41,7 @@
 
 
 class RequestParser:
-    """Reads requests by the settings. Nothing of an invalid one reaches the policy or a backend."""
+    """Validates requests against the settings. Invalid requests reach neither the policy nor a backend."""
 
     def __init__(self, settings: Settings, index: SettingsIndex) -> None:
         self._settings = settings
@@ -52,10 +52,10 @@
         self._needs_key = [c.idempotency is Idempotency.WITH_KEY for c in settings.classes]
 
     def parse(self, message: Message) -> ParsedRequest:
-        """Returns the client's request; its body may be incomplete.
+        """Returns the parsed request, whose body may be incomplete.
 
         Raises:
-            InvalidRequestError: It is not as the protocol requires.
+            InvalidRequestError: The request violates the protocol.
         """
         headers = message.headers
         request_class = self._request_class(message)
@@ -84,11 +84,11 @@
         )
 
     def _request_class(self, message: Message) -> int:
-        """Returns the class by the first part of the path, whose method must be the request's."""
+        """Returns the class named by the first segment of the path, after checking the method against it."""
         method = message.method
         if method not in METHODS:
             raise InvalidRequestError(405, "only GET, HEAD and POST are known here")
-        if not message.target.startswith(b"/"):  # the absolute form, as for a proxy: backends know the other
+        if not message.target.startswith(b"/"):  # absolute form; backends accept the origin form only
             message.target = ABSOLUTE_FORM.sub(b"/", message.target, count=1)
         path = message.target.partition(b"?")[0].split(b"/")
         request_class = self._index.classes.get(path[1]) if len(path) > 1 and not path[0] else None
@@ -107,7 +107,7 @@
         return plan
 
     def _timeout(self, text: bytes, request_class: int) -> int:
-        """Returns the time that the client waits, in us, up to the class's deadline."""
+        """Returns the client's timeout in us, limited to the class's deadline."""
         deadline = self._settings.classes[request_class].deadline
         parts = REQUEST_TIMEOUT.fullmatch(text)
         timeout = 0
@@ -118,7 +118,7 @@
         return min(timeout, deadline)
 
     def _quota(self, text: bytes, plan: int) -> QuotaHeader:
-        """Returns the units asked for, and the set of gateways that the customer comes through."""
+        """Returns the units requested and the range of gateways that the customer uses."""
         fields = [QUOTA_FIELD.fullmatch(part.strip()) for part in text.split(b",")]
         values = {field[1]: field[2] for field in fields if field}
         if not len(fields) == len(values) == QUOTA_FIELDS:
@@ -128,14 +128,17 @@
         except ValueError:
             raise InvalidRequestError(400, "X-Quota is missing or invalid") from None
         fleet_size = self._settings.fleet_size
-        gateways_exist = 0 < quota.gateway_count <= fleet_size and quota.first_gateway < fleet_size
-        if not (0 < quota.units <= self._index.max_units[plan] and gateways_exist):
+        gateways_in_range = 0 < quota.gateway_count <= fleet_size and quota.first_gateway < fleet_size
+        if not (0 < quota.units <= self._index.max_units[plan] and gateways_in_range):
             raise InvalidRequestError(400, "X-Quota is out of range")
         return quota
 
 
 def encode_forwarded_head(message: Message, request_id: bytes) -> bytes:
-    """Returns what a backend is sent, up to the time left; target, id and key go on unchanged."""
+    """Returns the head sent to a backend, except Request-Timeout and the final empty line.
+
+    Target, Request-Id and Idempotency-Key are forwarded unchanged.
+    """
     headers = message.headers
     body = message.body
     body.chunked = body.declared_length is None and not body.complete
@@ -170,7 +173,7 @@
 
 
 def _customer(cookie_header: bytes) -> int:
-    """Returns the customer's number, from the one cookie that gives it in 16 hex digits."""
+    """Returns the customer's number from the `customer` cookie, 16 hex digits, which must occur once."""
     cookies = CUSTOMER_COOKIE.findall(cookie_header)
     if len(cookies) == 1 and SIXTEEN_HEX_DIGITS.fullmatch(cookies[0]):
         customer = int(cookies[0], 16)
--- a/quota_ingress/net/downstream/response.py
+++ b/quota_ingress/net/downstream/response.py
@@ -1,4 +1,4 @@
-"""Heads of the responses to clients, as bytes."""
+"""Encodes responses to clients."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 def content_type_field(content_type: bytes) -> bytes:
-    """Returns the header field, or nothing where the type is unknown."""
+    """Returns the Content-Type field, or an empty string if the type is unknown."""
     return b"Content-Type: %b\r\n" % content_type if content_type else b""
 
 
 def retry_after_field(retry_after_us: int) -> bytes:
-    """Returns the header field, or nothing where no advice is given (0)."""
+    """Returns the Retry-After field in seconds, or an empty string for 0 (no advice)."""
     return b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6) if retry_after_us else b""
 
 
 def encode_response(status: int, headers: bytes, length: bytes, body: bytes, keep_alive: bool) -> bytes:
-    """Returns a whole response. `length` is the Content-Length; empty for none."""
+    """Returns a response with its body. `length` is the Content-Length; empty: no such field."""
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b" % (
         status,
         REASON_PHRASES[status],
@@ -47,7 +47,7 @@
 
 
 def encode_stream_head(content_type: bytes, body: Body, keep_alive: bool) -> bytes:
-    """Returns the head of a response whose body is streamed."""
+    """Returns the head of a 200 response whose body is streamed, framed as `body` declares."""
     framing = b""
     if body.chunked:
         framing = b"Transfer-Encoding: chunked\r\n"
--- a/quota_ingress/net/downstream/response_writer.py
+++ b/quota_ingress/net/downstream/response_writer.py
@@ -10,42 +10,45 @@
 
 
 class StreamState(Enum):
-    """How far a body has been forwarded."""
+    """Progress of forwarding a response body."""
 
-    WAITING = auto()  # for more of it, or for the client to read on
+    WAITING = auto()  # for more of the body, or for the client to read
     COMPLETE = auto()
-    TRUNCATED = auto()  # its end will never be received
+    TRUNCATED = auto()  # the rest of the body will never be received
 
 
 class ResponseWriter:
     """The writing side of one client connection.
 
     Attributes:
-        paused: The client does not read on.
-        body: The body that is being streamed.
+        paused: The transport's write buffer is full, as the client does not read.
+        body: The response body being streamed, or None.
     """
 
     __slots__ = ("_bytes_acknowledged", "_bytes_written", "_offset", "body", "paused")
 
     def __init__(self) -> None:
         self._bytes_written = 0
-        self._bytes_acknowledged = 0  # of these, by the client's machine
-        self._offset = 0  # in the body
+        self._bytes_acknowledged = 0  # of the bytes written, by the client's kernel
+        self._offset = 0  # body offset up to which the body has been written
         self.body: Body | None = None
         self.paused = False
 
     def write(self, transport: asyncio.Transport, data: bytes) -> None:
-        """Writes and counts the bytes."""
+        """Writes the bytes and counts them for `client_has_read_more`."""
         self._bytes_written += len(data)
         transport.write(data)
 
     def start_stream(self, body: Body) -> None:
-        """Streams that body with the next calls of `forward`."""
+        """Sets the body that subsequent calls of `forward` write."""
         self.body = body
         self._offset = 0
 
     def forward(self, transport: asyncio.Transport) -> StreamState:
-        """Writes on the body as far as it has been received and as the client reads it."""
+        """Writes the body as far as it has been received, until the client does not read.
+
+        Releases the body once all of it is written.
+        """
         while (body := self.body) and not self.paused and not transport.is_closing():
             if body.truncated:
                 return StreamState.TRUNCATED
@@ -61,14 +64,14 @@
         return StreamState.WAITING
 
     def release_body(self) -> None:
-        """Frees the body that is being streamed, if there is one."""
+        """Frees the body being streamed, if any."""
         body = self.body
         self.body = None
         if body:
             body.release()
 
-    def client_has_read_on(self, transport: asyncio.Transport) -> bool:
-        """Returns whether the client's machine has taken more since the last call."""
+    def client_has_read_more(self, transport: asyncio.Transport) -> bool:
+        """Returns whether the client's kernel has acknowledged more bytes since the last call."""
         unsent = transport.get_write_buffer_size() + unacknowledged_bytes(transport)
         acknowledged = self._bytes_written - unsent
         if acknowledged <= self._bytes_acknowledged:
--- a/quota_ingress/net/downstream/socket_state.py
+++ b/quota_ingress/net/downstream/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection, and the event loop has not read yet."""
+"""Queries the kernel for connection state that the event loop has not read yet."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Returns how many received bytes the loop has not read."""
+    """Returns the number of received bytes that the event loop has not read."""
     return _ioctl(transport, termios.FIONREAD)
 
 
 def unacknowledged_bytes(transport: asyncio.Transport) -> int:
-    """Returns how many bytes the kernel holds until the other machine has taken them."""
+    """Returns the number of sent bytes that the peer's kernel has not acknowledged."""
     return _ioctl(transport, termios.TIOCOUTQ)
 
 
 def time_since_last_data_us(transport: asyncio.Transport) -> int | None:
-    """Returns the microseconds since data was last received, as the kernel counts in milliseconds.
+    """Returns the microseconds since data was last received, at the kernel's resolution of 1 ms.
 
-    None where the kernel does not know.
+    None if the kernel does not provide it.
     """
     try:
         sock = transport.get_extra_info("socket")
@@ -37,8 +37,8 @@
         return None
 
 
-def peer_has_left(transport: asyncio.Transport) -> bool:
-    """Returns whether the other side has ended the connection or its sending, read or not."""
+def peer_has_closed(transport: asyncio.Transport) -> bool:
+    """Returns whether the peer has closed or half-closed the connection, even if that is still unread."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -1,4 +1,4 @@
-"""The stages of clients' connections, which decide on their timeouts and on the order of eviction."""
+"""The stages of client connections, which determine their timeouts and the order of eviction."""
 
 from __future__ import annotations
 
@@ -8,49 +8,49 @@
 
 
 class StagedConnection(Protocol):
-    """A client connection, as timeouts, eviction and shutdown see it. Moments are us."""
+    """A client connection, as seen by timeouts, eviction and shutdown. Times are us of the process clock."""
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request has begun and is not answered."""
+        """Whether a request has begun and has not been answered."""
 
     def is_too_slow(self, now: int) -> bool:
-        """Whether a body arrives more slowly than any client sends, or has stopped."""
+        """Whether the body of the current request arrives too slowly or has stalled."""
 
     def is_stalled(self, before: int) -> bool:
-        """Whether it began a head, and has sent nothing more since before that moment."""
+        """Whether a head is incomplete, with no byte received since `before` and none unread."""
 
-    def note_read_progress(self, now: int) -> None:
-        """Notes whether the client has read on since the last call."""
+    def update_read_progress(self, now: int) -> None:
+        """Restarts the unread-response timeout if the client has read more since the last call."""
 
     def reject_unreadable(self, status: int) -> None:
-        """Ends it over a request that cannot be read, or stays incomplete."""
+        """Rejects a malformed or incomplete request with `status` and ends the connection."""
 
     def close_if_idle(self, reason: CloseReason = CloseReason.IDLE) -> bool:
-        """Closes it between requests, but not if one waits unread. Returns whether it did."""
+        """Closes the connection unless a request is open or unread. Returns whether it was closed."""
 
     def evict_incomplete(self) -> None:
-        """Closes it in the middle of a head."""
+        """Closes the connection in the middle of a request head."""
 
     def abort(self, reason: CloseReason) -> None:
-        """Closes it at once, with what is still to be written."""
+        """Closes the connection at once and discards unwritten data."""
 
 
 class ConnectionStages:
     """All open connections, by stage.
 
-    Mappings hold the moment (us) since when a connection is in a stage, the longest first. A connection is in
-    at most one of `awaiting_first_request`, `receiving_head` and `idle`; while a request is open, in none of
-    them, but for a first request that has not been found valid yet.
+    Mappings give the time (us) at which a connection entered the stage, the earliest first. A connection is
+    in at most one of `awaiting_first_request`, `receiving_head` and `idle`. While a request is open, it is in
+    none of them, except that it stays in `awaiting_first_request` until its first request has been validated.
 
     Attributes:
         open: All connections.
         awaiting_first_request: No valid request has been received yet.
-        receiving_head: A further request has begun, and its head is incomplete.
+        receiving_head: A request after the first has begun, and its head is incomplete.
         idle: Between requests, with nothing of the next one received.
-        receiving_body: A request's head is complete, and its body is not.
-        write_blocked: The client does not read what it is sent.
-        lingering: Has had its last response; what is still received is discarded.
+        receiving_body: A request's head is complete, and its body is incomplete.
+        write_blocked: The client does not read its response; the time is that of its last read progress.
+        lingering: The last response has been written; data still received is discarded.
     """
 
     def __init__(self) -> None:
@@ -63,39 +63,39 @@
         self.lingering: dict[StagedConnection, int] = {}
 
     def add(self, connection: StagedConnection, now: int) -> None:
-        """Adds a connection that is up."""
+        """Adds a newly accepted connection."""
         self.open.add(connection)
         self.awaiting_first_request[connection] = now
 
     def remove(self, connection: StagedConnection) -> None:
-        """Removes a connection that has ended."""
+        """Removes a closed connection from all stages."""
         self.open.discard(connection)
         self.receiving_body.discard(connection)
-        self.leave_quiet_stages(connection)
+        self.leave_inactive_stages(connection)
         self.write_blocked.pop(connection, None)
         self.lingering.pop(connection, None)
 
     def start_head(self, connection: StagedConnection, now: int) -> None:
-        """Moves an idle connection on: the next request has begun."""
+        """Moves an idle connection to `receiving_head`: its next request has begun."""
         if self.idle.pop(connection, None) is not None:
             self.receiving_head[connection] = now
 
     def start_request(self, connection: StagedConnection) -> None:
-        """The head of a request is complete."""
+        """Removes a connection from `receiving_head` and `idle`: a request's head is complete."""
         self.receiving_head.pop(connection, None)
         self.idle.pop(connection, None)
 
     def accept_first_request(self, connection: StagedConnection) -> None:
-        """The first valid request has been received."""
+        """Removes a connection from `awaiting_first_request`: its first request is valid."""
         self.awaiting_first_request.pop(connection, None)
 
     def wait_for_head(self, connection: StagedConnection, now: int) -> None:
-        """A request has had its response, and the next one has begun."""
+        """Adds a connection to `receiving_head`: a request was answered and the next one has begun."""
         self.receiving_head[connection] = now
         self.awaiting_first_request.pop(connection, None)
 
     def park_idle(self, connection: StagedConnection, now: int, max_idle: int) -> None:
-        """A request has had its response, and nothing of the next one has been received.
+        """Adds a connection to `idle`: a request was answered and nothing of the next one was received.
 
         Closes the longest idle connection if there are more than `max_idle`.
         """
@@ -105,22 +105,22 @@
         self.awaiting_first_request.pop(connection, None)
 
     def start_lingering(self, connection: StagedConnection, now: int) -> None:
-        """The last response has been written, and the client is still sending."""
-        self.leave_quiet_stages(connection)
+        """Moves a connection to `lingering`: its last response was written but its client still sends."""
+        self.leave_inactive_stages(connection)
         self.lingering[connection] = now
 
-    def leave_quiet_stages(self, connection: StagedConnection) -> None:
-        """Takes the connection out of the stages with no request open."""
+    def leave_inactive_stages(self, connection: StagedConnection) -> None:
+        """Removes the connection from the stages in which no request is open."""
         self.awaiting_first_request.pop(connection, None)
         self.receiving_head.pop(connection, None)
         self.idle.pop(connection, None)
 
 
-def in_stage_since_before(stage: dict[StagedConnection, int], before: int) -> list[StagedConnection]:
-    """Returns the connections that have been in a stage since before that moment (us)."""
-    found = []
-    for connection, since in stage.items():
-        if since >= before:
+def entered_before(stage: dict[StagedConnection, int], before: int) -> list[StagedConnection]:
+    """Returns the connections that entered the stage earlier than `before` (us), in order of entry."""
+    connections = []
+    for connection, entered_at in stage.items():
+        if entered_at >= before:
             break
-        found.append(connection)
-    return found
+        connections.append(connection)
+    return connections
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -4,7 +4,7 @@
 
 from typing import cast
 
-from quota_ingress.net.downstream.stages import ConnectionStages, StagedConnection, in_stage_since_before
+from quota_ingress.net.downstream.stages import ConnectionStages, StagedConnection, entered_before
 
 
 class Connection:
@@ -50,5 +50,5 @@
 def test_those_in_a_stage_since_before_a_moment_are_found_in_order() -> None:
     first, second, third = staged(), staged(), staged()
     stage = {first: 1, second: 2, third: 3}
-    assert in_stage_since_before(stage, 3) == [first, second]
-    assert in_stage_since_before(stage, 1) == []
+    assert entered_before(stage, 3) == [first, second]
+    assert entered_before(stage, 1) == []
