--- a/tests/test_body.py
+++ b/tests/test_body.py
@@ -1,4 +1,4 @@
-"""A body: what it buffers, what it tells its two sides, and how it is encoded."""
+"""Buffering, callbacks and encoding of message bodies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return body, budget
 
 
-def test_the_budget_counts_what_is_buffered_and_nothing_after_the_release() -> None:
+def test_the_budget_counts_buffered_bytes_until_the_release() -> None:
     body, budget = body_of(b"0123456789")
     assert budget.used == body.buffered == 10
     body.discard(4)
@@ -29,7 +29,7 @@
     body.on_drained = lambda: calls.append("drained")
     body.on_update = lambda: calls.append("update")
     body.discard(4)
-    body.discard(4)  # nothing further
+    body.discard(4)  # already discarded: no callback
     body.truncate()
     body.release()
     body.truncate()
@@ -42,7 +42,7 @@
     assert not body.truncated
 
 
-def test_a_body_in_chunks_ends_with_the_last_chunk() -> None:
+def test_a_chunked_body_ends_with_the_last_chunk() -> None:
     body, _ = body_of(b"0123456789abcdef")
     body.chunked = True
     assert body.encode(6) == EncodedPart(b"a\r\n6789abcdef\r\n", 16)
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -1,4 +1,4 @@
-"""A client connection: requests are answered once, in their order, also as the connection ends."""
+"""Client connections: each request is answered once and in order, also when the connection is closed."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     backend.heard = lambda peer: None
     task = asyncio.create_task(ingress.ask(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1")))
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
-    sent = backend.peers[0].data
+    forwarded = backend.peers[0].data
     backend.peers[0].transport.write(OK)
     answer = await task
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\nwarm")
-    assert sent.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n") and b"\r\nRequest-Id: a1\r\n" in sent
+    assert forwarded.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n") and b"\r\nRequest-Id: a1\r\n" in forwarded
     (arrived,) = ingress.script.of(RequestArrived)
     assert (arrived.units, arrived.gateway_count, arrived.first_gateway, arrived.is_retry) == (
         1.5,
@@ -58,10 +58,10 @@
     data = data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
     task = asyncio.create_task(ingress.ask(data + body))
     await backend.until(lambda: bool(backend.peers) and backend.peers[0].data.endswith(body))
-    head, _, passed = backend.peers[0].data.partition(b"\r\n\r\n")
+    head, _, forwarded_body = backend.peers[0].data.partition(b"\r\n\r\n")
     backend.peers[0].transport.write(OK)
     assert (await task).endswith(b"warm")
-    assert head.startswith(b"POST /save/x?y=1 HTTP/1.1\r\n") and passed == body
+    assert head.startswith(b"POST /save/x?y=1 HTTP/1.1\r\n") and forwarded_body == body
     fields = head.split(b"\r\n")
     assert b"Request-Id: a1" in fields and b"Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211" in fields
 
@@ -73,28 +73,29 @@
     try:
         writer.write(request())
         await read_answer(reader)
-        held = [weakref.ref(c) for c in ingress.listener.connections]
-        held += [weakref.ref(c) for pool in ingress.backends._pools.values() for c in pool.idle]
-        assert len(held) == 2
+        references = [weakref.ref(c) for c in ingress.listener.connections]
+        references += [weakref.ref(c) for pool in ingress.backends._pools.values() for c in pool.idle]
+        assert len(references) == 2
         writer.close()
         ingress.backends.close_idle_connections(1)
         async with asyncio.timeout(10):
-            while any(ref() for ref in held):
+            while any(ref() for ref in references):
                 await asyncio.sleep(0)
     finally:
         gc.enable()
 
 
-async def test_a_request_id_in_use_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
+async def test_a_duplicate_request_id_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
     backend.heard = lambda peer: None
     first = asyncio.create_task(ingress.ask(request("same")))
     await ingress.script.seen(RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
-    assert not ingress.script.of(ClientDisconnected)  # the end of the second connection is not the first's
+    # Closing the second connection is not reported as a disconnect of the first client.
+    assert not ingress.script.of(ClientDisconnected)
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
-    assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")  # nor right after its end
+    assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")  # also right after its end
 
 
 async def test_pipelined_requests_are_answered_in_order(ingress: Ingress) -> None:
@@ -105,7 +106,7 @@
     writer.close()
 
 
-async def test_a_client_that_closes_cancels_its_attempt(ingress: Ingress, backend: PeerServer) -> None:
+async def test_a_client_disconnect_cancels_the_attempt(ingress: Ingress, backend: PeerServer) -> None:
     backend.heard = lambda peer: None
     script = ingress.script
     cancel = [CancelAttempt(1, 0)]
@@ -139,10 +140,10 @@
 
 
 async def test_a_policy_error_does_not_end_the_process(ingress: Ingress) -> None:
-    def broken(event: Event) -> list[Action]:
+    def failing_rule(event: Event) -> list[Action]:
         raise RuntimeError("made up")
 
-    ingress.script.rule = broken
+    ingress.script.rule = failing_rule
     assert (await ingress.ask(request(timeout="150m"))).startswith(b"HTTP/1.1 504 ")
     ingress.script.rule = send_first
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
@@ -190,8 +191,8 @@
     writer.close()
 
 
-async def test_pipelined_requests_at_the_process_end_are_all_answered(ingress: Ingress) -> None:
-    """The first one was refused at once, with a close, before the second was looked at."""
+async def test_pipelined_requests_at_shutdown_are_all_answered(ingress: Ingress) -> None:
+    """Guards against closing the connection with the first rejection, before the second request is parsed."""
     ingress.listener.begin_shutdown()
     ingress.engine.fail_all()
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -211,22 +212,22 @@
 async def test_a_request_unread_at_the_last_response_is_answered(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """It was left unread, and the close over it reset the connection."""
+    """Guards against closing a socket that holds an unread request, which resets the connection."""
     backend.heard = lambda peer: None
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     ingress.listener.begin_shutdown()
     (connection,) = ingress.listener.connections
-    serve = connection.respond
+    original_respond = connection.respond
 
-    def crossed(answer: object) -> None:
+    def respond_after_next_request(answer: object) -> None:
         os.write(writer.get_extra_info("socket").fileno(), request("r1"))
-        time.sleep(0.02)  # it is in our socket by now
-        connection.respond = serve  # type: ignore[method-assign]
-        serve(answer)  # type: ignore[arg-type]
+        time.sleep(0.02)  # until the request is in the ingress's socket
+        connection.respond = original_respond  # type: ignore[method-assign]
+        original_respond(answer)  # type: ignore[arg-type]
 
-    connection.respond = crossed  # type: ignore[method-assign, assignment]
+    connection.respond = respond_after_next_request  # type: ignore[method-assign, assignment]
     backend.heard = answers(OK)
     backend.peers[0].transport.write(OK)
     assert await read_statuses(reader, 2) == [b"200"] * 2
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which client connections make room where descriptors are short, and which are kept."""
+"""Eviction of client connections when descriptors run out: which are closed and which are kept."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     ingress: Ingress,
 ) -> None:
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 3, 5
-    held = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
-    for reader, writer in held:
+    clients = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
+    for reader, writer in clients:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await read_answer(reader)
-    answer = await ingress.ask(request())  # an idle client makes room for this one
+    answer = await ingress.ask(request())  # an idle connection is evicted for this one
     assert answer.startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
-        assert await held[0][0].read() == b""
+        assert await clients[0][0].read() == b""
     ingress.script.rule = lambda event: []
     writers = []
     for number in range(3):
@@ -40,23 +40,23 @@
     answer = await ingress.ask(request("over"))
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close\r\n" in answer
     assert b"Retry-After: 0.500\r\n" in answer
-    for _, writer in [*held, *[(None, w) for w in writers]]:
+    for _, writer in [*clients, *[(None, w) for w in writers]]:
         writer.close()
 
 
 async def test_idle_connections_above_the_maximum_are_closed(ingress: Ingress) -> None:
-    """The clients in front have only so many to an ingress: 124 idle ones left none for requests."""
+    """Clients have a limited number of connections to an ingress: 124 idle ones left none for requests."""
     ingress.listener.max_idle = 3
-    held = []
+    clients = []
     for _ in range(8):
-        held.append(await asyncio.open_connection(HOST, ingress.port))
-        held[-1][1].write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert (await read_answer(held[-1][0])).startswith(b"HTTP/1.1 200 ")
+        clients.append(await asyncio.open_connection(HOST, ingress.port))
+        clients[-1][1].write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+        assert (await read_answer(clients[-1][0])).startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
-        for reader, _ in held[:5]:  # the longest idle
+        for reader, _ in clients[:5]:  # the longest idle
             assert await reader.read() == b""
     assert len(ingress.listener.stages.idle) == 3
-    for _, writer in held:
+    for _, writer in clients:
         writer.close()
 
 
@@ -66,7 +66,7 @@
     writer.write(request("first"))
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
     silent = [await asyncio.open_connection(HOST, ingress.port) for _ in range(200)]
-    writer.write(request("second"))  # the silent ones went first: a client that asks keeps its connection
+    writer.write(request("second"))  # silent connections are evicted first, so this one is kept
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
     assert (await ingress.ask(request("third"))).startswith(b"HTTP/1.1 200 ")
     assert len(ingress.listener.connections) <= 30
@@ -80,33 +80,37 @@
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 4, 8
     now = [ingress.listener.now()]
     monkeypatch.setattr(ingress.listener, "now", lambda: now[0])
-    half = [await asyncio.open_connection(HOST, ingress.port) for _ in range(4)]
-    for _, writer in half:
+    incomplete = [await asyncio.open_connection(HOST, ingress.port) for _ in range(4)]
+    for _, writer in incomplete:
         writer.write(request("x")[:30])
-    slow, slow_writer = half[0]
+    slow, slow_writer = incomplete[0]
     while len([c for c in ingress.listener.stages.awaiting_first_request if c.reader.in_message]) < 4:
         await asyncio.sleep(0)
     now[0] += 600_000
     slow_writer.write(request("x")[30:60])
     while not any(c._last_data_at == now[0] for c in ingress.listener.stages.awaiting_first_request):
         await asyncio.sleep(0)
-    assert (await ingress.ask(request("early"))).startswith(b"HTTP/1.1 503 ")  # all may yet go on
+    # No head has stalled for STALL_TIMEOUT_S yet, so no connection is evicted.
+    assert (await ingress.ask(request("early"))).startswith(b"HTTP/1.1 503 ")
     now[0] += 200_000
     for number in range(3):
         assert (await ingress.ask(request(f"late{number}"))).startswith(b"HTTP/1.1 200 ")
     slow_writer.write(request("x")[60:])
     assert (await read_answer(slow)).startswith(b"HTTP/1.1 200 ")
-    for _, writer in half:
+    for _, writer in incomplete:
         writer.close()
 
 
 async def test_a_connection_is_not_evicted_with_a_request_unread(ingress: Ingress) -> None:
-    """With descriptors short, 20 first requests on fresh connections were lost: they were closed as idle."""
+    """Guards against closing a new connection as idle while its first request is unread.
+
+    With few descriptors left, 20 first requests were lost this way.
+    """
     fresh, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
-    writer.write(request("first"))  # written at once; the loop has not been back to read it
+    writer.write(request("first"))  # in the socket, but not yet read by the event loop
     assert connection in ingress.listener.stages.awaiting_first_request and not ingress.listener._evict()
     assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
     assert connection in ingress.listener.stages.idle
@@ -131,17 +135,17 @@
 
 
 async def test_a_fresh_connection_is_evicted_last(ingress: Ingress) -> None:
-    """Its first request is on its way: one that rests between requests goes before it."""
-    resting = await asyncio.open_connection(HOST, ingress.port)
-    resting[1].write(request("r0"))
-    assert await read_statuses(resting[0], 1) == [b"200"]
+    """The first request of a new connection is on its way, so idle connections are evicted before it."""
+    idle = await asyncio.open_connection(HOST, ingress.port)
+    idle[1].write(request("r0"))
+    assert await read_statuses(idle[0], 1) == [b"200"]
     fresh = await asyncio.open_connection(HOST, ingress.port)
     async with asyncio.timeout(5):
         while not ingress.listener.stages.awaiting_first_request:
             await asyncio.sleep(0)
     assert ingress.listener._evict()
-    assert await resting[0].read() == b""
+    assert await idle[0].read() == b""
     fresh[1].write(request("r1"))
     assert await read_statuses(fresh[0], 1) == [b"200"]
-    for _, writer in (resting, fresh):
+    for _, writer in (idle, fresh):
         writer.close()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener: draining at a stop, and the limit above which clients wait in the accept queue."""
+"""The listener: draining at shutdown, and the limit above which clients wait in the accept queue."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
-    taken = asyncio.create_task(ingress.ask(request()))
+    open_request = asyncio.create_task(ingress.ask(request()))
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     ingress.listener.begin_shutdown()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
     backend.heard = answers(OK)
-    late = await ingress.ask(request("late"))
+    new_answer = await ingress.ask(request("late"))
     backend.peers[0].transport.write(OK)
-    for answer in (late, await taken):
+    for answer in (new_answer, await open_request):
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close\r\n" in answer
     idle_writer.close()
 
 
 async def test_while_draining_a_connection_may_still_send_its_first_request(ingress: Ingress) -> None:
-    """Slow clients' first requests were turned back: their connections were closed as silent."""
+    """Guards against closing new connections as idle during a drain, which lost slow clients' requests."""
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
@@ -58,14 +58,14 @@
 async def test_above_the_hard_limit_clients_wait_in_the_accept_queue(ingress: Ingress) -> None:
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 3, 3
     ingress.script.rule = lambda event: []
-    ends = []
+    clients = []
     for number in range(6):
-        ends.append(await asyncio.open_connection(HOST, ingress.port))
-        ends[-1][1].write(request(f"a{number}"))
+        clients.append(await asyncio.open_connection(HOST, ingress.port))
+        clients[-1][1].write(request(f"a{number}"))
     await ingress.script.seen(RequestArrived, 3)
     assert len(ingress.listener.connections) == 3
-    for _, writer in ends[:3]:
+    for _, writer in clients[:3]:
         writer.close()
     assert len(await ingress.script.seen(RequestArrived, 6)) == 6
-    for _, writer in ends:
+    for _, writer in clients:
         writer.close()
--- a/tests/test_message_reader.py
+++ b/tests/test_message_reader.py
@@ -1,4 +1,4 @@
-"""The forms of HTTP/1.1 that clients may use, and those that could smuggle a request in."""
+"""HTTP/1.1 message forms that are accepted, and forms that are rejected to prevent request smuggling."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 from tests.support.streaming import IngressAndBackend, save
 
 
-async def test_chunks_extensions_and_trailers_of_a_request_are_framing_alone(pair: IngressAndBackend) -> None:
+async def test_chunk_extensions_and_trailers_of_a_request_are_not_forwarded(pair: IngressAndBackend) -> None:
     data = b'3;a=b\r\nabc\r\n004;c="d;e"\r\ndefg\r\n0\r\nX-Plan: tin\r\nX-More: y\r\n\r\n'
     reader, writer = await pair.connect(save("Transfer-Encoding: chunked") + data + request("b2"))
     peer = await pair.heard(b"abcdefg")
     assert b"\r\nContent-Length: 7\r\n" in peer.data and peer.data.endswith(b"\r\n\r\nabcdefg")
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
-    await pair.heard(b"Request-Id: b2")  # what lies behind is the next request
+    await pair.heard(b"Request-Id: b2")  # the bytes after the trailer are the next request
     writer.close()
 
 
-async def test_trailing_white_space_is_no_part_of_a_value(pair: IngressAndBackend) -> None:
-    """Answers with `chunked ` for their coding were taken for ones that cannot be read: 59 to 87 on a day."""
+async def test_trailing_whitespace_is_not_part_of_a_field_value(pair: IngressAndBackend) -> None:
+    """Guards against treating messages with `Transfer-Encoding: chunked ` as malformed.
+
+    The trailing space made 59 to 87 responses a day fail.
+    """
     first, *lines = save("Transfer-Encoding: chunked").split(b"\r\n")[:-2]
     head = b" \t\r\n".join(line for line in lines if b"chunked" not in line)
     head = first + b"\r\nTransfer-Encoding: chunked \r\n" + head + b" \t\r\n\r\n"
@@ -57,8 +60,8 @@
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
     other, other_writer = await pair.connect(save("Content-Length: 4", Expect="a-miracle"))
     assert (await read_answer(other)).startswith(b"HTTP/1.1 417 ")
-    for each in (writer, other_writer):
-        each.close()
+    for client_writer in (writer, other_writer):
+        client_writer.close()
 
 
 async def test_a_response_to_head_has_no_body(pair: IngressAndBackend) -> None:
@@ -72,13 +75,13 @@
     pair.server.heard = answers(OK)
     writer.write(request("h2"))
     assert (await read_answer(reader)).endswith(b"warm")
-    assert len(pair.server.peers) == 2  # nobody knows what would have come behind that head
+    assert len(pair.server.peers) == 2  # a connection is not reused after a response to HEAD
     writer.close()
 
 
-async def test_a_request_to_upgrade_is_ignored_and_its_body_kept(pair: IngressAndBackend) -> None:
-    wish = {"Connection": "Upgrade", "Upgrade": "h2c"}
-    reader, writer = await pair.connect(save("Content-Length: 4", **wish) + b"four" + request("b2"))
+async def test_an_upgrade_request_is_ignored_and_its_body_forwarded(pair: IngressAndBackend) -> None:
+    upgrade = {"Connection": "Upgrade", "Upgrade": "h2c"}
+    reader, writer = await pair.connect(save("Content-Length: 4", **upgrade) + b"four" + request("b2"))
     peer = await pair.heard(b"four")
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.usefixtures("backend_answers")
 
 
-LENGTHS = b"POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: %b\r\n\r\nabcd"
+TEMPLATE = b"POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: %b\r\n\r\nabcd"
 
 
 @pytest.mark.parametrize(
@@ -27,11 +27,11 @@
         (b"GET /read HTTP/1.1\r\n" + b"A: b\r\n" * 4000 + b"\r\n", b"431"),
         (b"GET /read HTTP/1.1\r\nA: " + b"b" * 20_000, b"431"),
         (b"POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n", b"413"),
-        (LENGTHS % b"-4", b"400"),
-        (LENGTHS % b"ten", b"400"),
-        (LENGTHS % b"4\r\nContent-Length: 9", b"400"),
-        (LENGTHS % b"4\r\nTransfer-Encoding: chunked", b"400"),
-        (LENGTHS.replace(b"Content-Length", b"Transfer-Encoding") % b"chunked\r\nContent-Length: 4", b"400"),
+        (TEMPLATE % b"-4", b"400"),
+        (TEMPLATE % b"ten", b"400"),
+        (TEMPLATE % b"4\r\nContent-Length: 9", b"400"),
+        (TEMPLATE % b"4\r\nTransfer-Encoding: chunked", b"400"),
+        (TEMPLATE.replace(b"Content-Length", b"Transfer-Encoding") % b"chunked\r\nContent-Length: 4", b"400"),
         (request(cls="nothing"), b"404"),
         (request(X_Plan="tin"), b"400"),
         (request(Request_Id="-"), b"400"),
@@ -69,7 +69,7 @@
     writer.write(data)
     answer = await read_answer(reader)
     assert answer.split(b" ")[1] == status and b"Connection: close" in answer
-    assert not ingress.script.of(RequestArrived)  # neither the module nor a backend hears of it
+    assert not ingress.script.of(RequestArrived)  # it reaches neither the policy nor a backend
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
     assert "Traceback" not in caplog.text
     writer.close()
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""The stages of client connections through the life of a connection."""
+"""Transitions of client connections between stages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Connection:
-    """Notes that it has been closed."""
+    """Records that it has been closed."""
 
     closed = False
 
@@ -17,14 +17,14 @@
         return True
 
 
-def staged() -> StagedConnection:
+def make_connection() -> StagedConnection:
     return cast(StagedConnection, Connection())
 
 
-def test_a_connection_moves_through_its_stages_and_is_forgotten_at_its_end() -> None:
-    stages, connection = ConnectionStages(), staged()
+def test_a_connection_moves_through_its_stages_and_is_removed_when_closed() -> None:
+    stages, connection = ConnectionStages(), make_connection()
     stages.add(connection, 1)
-    stages.start_head(connection, 2)  # the first one: it goes on waiting for its first request
+    stages.start_head(connection, 2)  # the first head: the stage does not change
     assert stages.awaiting_first_request == {connection: 1} and not stages.receiving_head
     stages.start_request(connection)
     stages.accept_first_request(connection)
@@ -47,8 +47,8 @@
     assert [c.closed for c in connections] == [True, False, False]
 
 
-def test_those_in_a_stage_since_before_a_moment_are_found_in_order() -> None:
-    first, second, third = staged(), staged(), staged()
+def test_entered_before_returns_connections_in_order_of_entry() -> None:
+    first, second, third = make_connection(), make_connection(), make_connection()
     stage = {first: 1, second: 2, third: 3}
     assert entered_before(stage, 3) == [first, second]
     assert entered_before(stage, 1) == []
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Client connections that take too long over a head, a body or the next request are ended."""
+"""Timeouts of client connections for heads, bodies and the next request."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     await read_answer(reader)
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
     ingress.listener._sweep()
-    assert len(ingress.listener.stages.idle) == 1  # nothing has begun
+    assert len(ingress.listener.stages.idle) == 1  # no request has begun
     writer.write(request("second")[:9])
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
     other, other_writer = await asyncio.open_connection(HOST, ingress.port)
@@ -64,9 +64,9 @@
 
 @pytest.mark.usefixtures("backend_answers")
 async def test_the_sweep_survives_connections_that_are_being_closed(ingress: Ingress) -> None:
-    """Their descriptors are closed before the loop tells of their end: the kernel knows them no more."""
-    ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
-    ends[0][1].write(request("x")[:20])
+    """Guards against querying closed descriptors: they are closed before the loop reports the end."""
+    clients = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
+    clients[0][1].write(request("x")[:20])
     while len(ingress.listener.connections) < 2 or not any(
         c.reader.in_message for c in ingress.listener.connections
     ):
@@ -78,7 +78,7 @@
         connection.transport.abort()
     listener._sweep()
     assert not listener._evict() and listener._sweep_timer and listener._sweep_timer.when() > 0
-    for _, writer in ends:
+    for _, writer in clients:
         writer.close()
 
 
@@ -100,17 +100,17 @@
 
 
 def test_the_timeout_of_a_body_grows_with_its_progress() -> None:
-    class Nobody:
+    class StubHost:
         memory_budget = MemoryBudget()
         engine = None
         stages = ConnectionStages()
 
-    connection = ClientConnection(Nobody())  # type: ignore[arg-type]
+    connection = ClientConnection(StubHost())  # type: ignore[arg-type]
     connection._pipeline.current, body = connection.reader.message, connection.reader.message.body
-    body.append(b"x" * 160_000)  # five seconds' worth, behind 2.5 s for the head
+    body.append(b"x" * 160_000)  # extends the timeout by 5 s, beyond 2.5 s for the head
     connection._last_data_at = 7_000_000
     assert not connection.is_too_slow(7_400_000) and connection.is_too_slow(7_600_000)
-    body.append(b"x" * 10_000_000)  # it was fast, and then it stopped
+    body.append(b"x" * 10_000_000)  # received fast, then stalled
     assert not connection.is_too_slow(8_900_000) and connection.is_too_slow(9_100_000)
-    connection._read_flow.paused = True  # held up here: that time is not the client's
+    connection._read_flow.paused = True  # a pause by this side does not count
     assert not connection.is_too_slow(60_000_000)
