--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -1,4 +1,4 @@
-"""When a client's time begins: with the request's last byte, wherever that had to wait for its turn."""
+"""A client's timeout starts when the last byte of its request arrives, even if that is read later."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from quota_ingress.policy.events import RequestArrived
 from tests.net_helpers import HOST, OK, Ingress, PeerServer, Script, listing, request, send_first
 
-TIMEOUT = 2.0  # s that each client gives
+TIMEOUT = 2.0  # s, sent by each client
 
 
-SLACK = 0.15  # s that a backend may be told beyond what the client has left
+SLACK = 0.15  # s by which the timeout forwarded to a backend may exceed the client's time left
 
 
-async def told(backend: PeerServer, request_id: str) -> float:
-    """The seconds that the backend was told with that request."""
-    wanted = f"Request-Id: {request_id}\r\n".encode()
-    await backend.until(lambda: any(wanted in peer.data for peer in backend.peers))
-    (data,) = (peer.data for peer in backend.peers if wanted in peer.data)
-    head = data.partition(wanted)[2]
+async def forwarded_timeout(backend: PeerServer, request_id: str) -> float:
+    """Returns the Request-Timeout, in s, that the backend received with that request."""
+    id_field = f"Request-Id: {request_id}\r\n".encode()
+    await backend.until(lambda: any(id_field in peer.data for peer in backend.peers))
+    (data,) = (peer.data for peer in backend.peers if id_field in peer.data)
+    head = data.partition(id_field)[2]
     return int(head.partition(b"Request-Timeout: ")[2].partition(b"m")[0]) / 1000
 
 
@@ -29,18 +29,18 @@
 ) -> None:
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", timeout="2000m") + request("r1", timeout="2000m"))
-    sent = time.monotonic()
+    sent_at = time.monotonic()
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     await asyncio.sleep(1.0)
     backend.peers[0].transport.write(OK)
-    assert await told(backend, "r1") <= TIMEOUT - (time.monotonic() - sent) + SLACK
+    assert await forwarded_timeout(backend, "r1") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
     writer.close()
 
 
-async def test_a_request_that_came_while_reading_was_paused_has_the_time_left(
+async def test_a_request_that_arrived_while_reading_was_paused_has_the_time_left(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """More wait than are read ahead: the last ones stay in the socket until there is room."""
+    """More requests wait than are read ahead, so the last ones stay in the socket until reading resumes."""
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}", timeout="2000m") for n in range(10)))
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
@@ -48,15 +48,15 @@
     while not connection._read_flow.paused:
         await asyncio.sleep(0.001)
     writer.write(request("late", timeout="2000m"))
-    sent = time.monotonic()
+    sent_at = time.monotonic()
     await asyncio.sleep(0.8)
     for peer in backend.peers:
         peer.transport.write(OK)
-    for number in range(1, 10):  # one after another, on whichever connection it comes
-        wanted = b"Request-Id: r%d\r" % number
-        await backend.until(lambda wanted=wanted: any(wanted in p.data for p in backend.peers))
-        next(p for p in backend.peers if wanted in p.data).transport.write(OK)
-    assert await told(backend, "late") <= TIMEOUT - (time.monotonic() - sent) + SLACK
+    for number in range(1, 10):  # one after another, on whichever connection each is sent
+        id_field = b"Request-Id: r%d\r" % number
+        await backend.until(lambda id_field=id_field: any(id_field in p.data for p in backend.peers))
+        next(p for p in backend.peers if id_field in p.data).transport.write(OK)
+    assert await forwarded_timeout(backend, "late") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
     writer.close()
 
 
@@ -66,14 +66,14 @@
     ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", timeout="2000m"))
-    sent = time.monotonic()
+    sent_at = time.monotonic()
     await asyncio.sleep(0.8)
     ingress.listener.resume_accepting()
-    assert await told(backend, "r0") <= TIMEOUT - (time.monotonic() - sent) + SLACK
+    assert await forwarded_timeout(backend, "r0") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
     writer.close()
 
 
-async def test_a_request_whose_time_is_over_at_its_turn_is_not_forwarded(
+async def test_a_request_that_timed_out_in_the_pipeline_is_not_forwarded(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -89,15 +89,15 @@
 
 
 async def test_a_request_from_an_inherited_accept_queue_has_the_time_left(backend: PeerServer) -> None:
-    """The process before has ended, and the platform has held the socket until this one listens."""
-    with socket.create_server((HOST, 0)) as held:
-        _, writer = await asyncio.open_connection(*held.getsockname())
+    """The previous process has ended, and the platform holds its listening socket until this one accepts."""
+    with socket.create_server((HOST, 0)) as listening:
+        _, writer = await asyncio.open_connection(*listening.getsockname())
         writer.write(request("r0", timeout="2000m"))
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         await asyncio.sleep(0.8)
         ingress = Ingress(Script(send_first))
         ingress.engine.update_endpoints(listing(backend.port))
-        await ingress.listener.listen(HOST, 0, held.fileno())
-        assert await told(backend, "r0") <= TIMEOUT - (time.monotonic() - sent) + SLACK
+        await ingress.listener.listen(HOST, 0, listening.fileno())
+        assert await forwarded_timeout(backend, "r0") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
         ingress.stop()
         writer.close()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to a backend: reused while surely alive, limited in number, closed in time."""
+"""The pool of connections to a backend: reuse, limits, and closing of idle connections."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 ) -> None:
     assert [await pooled.outcome() for _ in range(3)] == [Outcome.OK] * 3
     assert len(pooled.server.peers) == 1
-    both = pooled.send(), pooled.send()
-    assert [(await b).outcome for b in both] == [Outcome.OK] * 2
+    responses = pooled.send(), pooled.send()
+    assert [(await response).outcome for response in responses] == [Outcome.OK] * 2
     assert len(pooled.server.peers) == 2 and pooled.sockets.in_use == 2
 
 
-async def test_no_request_is_sent_on_a_connection_that_the_backend_has_ended(pooled: PooledBackend) -> None:
-    """The end may be in the socket before the loop has read it: a look at the socket tells."""
+async def test_no_request_is_sent_on_a_connection_that_the_backend_has_closed(pooled: PooledBackend) -> None:
+    """The socket is checked at reuse, as it may hold a close that the event loop has not read yet."""
     assert await pooled.outcome() is Outcome.OK
     (connection,) = pooled.backends._pools[1].idle
     pooled.server.peers[0].transport.close()
-    while connection.is_alive():  # without going back to the loop's own reading of it
+    while connection.is_alive():  # until the close has reached the socket
         pooled.server.peers[0].transport.get_extra_info("socket")
         await asyncio.sleep(0)
     assert await pooled.outcome() is Outcome.OK
@@ -49,16 +49,16 @@
 async def test_an_update_withdraws_only_from_the_pools_that_it_changes(
     pooled: PooledBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    looked: list[str] = []
-    monkeypatch.setattr(ConnectionPool, "withdraw", lambda pool: looked.append(pool.name))
+    withdrawn: list[str] = []
+    monkeypatch.setattr(ConnectionPool, "withdraw", lambda pool: withdrawn.append(pool.name))
     for number in range(2, 30):
         pooled.backends.register_endpoint(entry(f"s-{number}", 1, "draining"), number)
     pooled.backends.register_endpoint(entry("s-2", 1, "up"), 2)
     pooled.backends.register_endpoint(entry("s-3", 1, "draining"), 3)
     pooled.backends.reconcile([29])
-    assert looked == ["s-29", "s-3"]
+    assert withdrawn == ["s-29", "s-3"]
     pooled.backends.reconcile([])
-    assert looked == ["s-29", "s-3"]
+    assert withdrawn == ["s-29", "s-3"]
 
 
 async def test_idle_connections_are_closed_before_the_backend_does() -> None:
@@ -86,7 +86,7 @@
     assert (await pooled.send()).outcome is Outcome.CONNECT_FAILED
     for peer in pooled.server.peers:
         peer.transport.write(OK)
-    assert (await written).outcome is Outcome.OK  # a drain finishes what it has
+    assert (await written).outcome is Outcome.OK  # a draining backend finishes the requests that it has
     assert (await unwritten).outcome in (Outcome.OK, Outcome.CONNECT_FAILED)
     await pooled.server.until(lambda: len(pooled.server.closed) == len(pooled.server.peers))
 
@@ -102,7 +102,7 @@
 
 
 async def test_a_connection_with_unsolicited_data_is_not_reused(pooled: PooledBackend) -> None:
-    """The start of a second answer behind the first would have garbled the next request's."""
+    """The start of a second response after the first would corrupt the response to the next request."""
     pooled.server.heard = answers(OK + b"HTTP/1.1 2")
     assert await pooled.outcome() is Outcome.OK
     pooled.server.heard = answers(OK)
@@ -110,16 +110,19 @@
     assert len(pooled.server.peers) == 2
 
 
-async def test_a_duplicate_response_is_never_taken_for_the_next_requests(pooled: PooledBackend) -> None:
-    """Both came in one read; the connection had been given back, and the module's next request was on it."""
+async def test_a_duplicate_response_is_not_taken_for_that_of_the_next_request(pooled: PooledBackend) -> None:
+    """Guards against returning a connection to the pool while its last read holds a duplicate response.
+
+    The next request was sent on that connection and got the duplicate.
+    """
     pooled.server.heard = answers(OK + OK)
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
-    def again(answer: AttemptResult) -> None:
+    def send_next(answer: AttemptResult) -> None:
         pooled.server.heard = answers(OK.replace(b"warm", b"mine"))
         pooled.backends.send(1, REQUEST, done.set_result)
 
-    pooled.backends.send(1, REQUEST, again)
+    pooled.backends.send(1, REQUEST, send_next)
     async with asyncio.timeout(10):
         assert (await done).body == b"mine"
     assert len(pooled.server.peers) == 2
@@ -128,18 +131,18 @@
 async def test_connections_never_exceed_the_descriptor_share(pooled: PooledBackend) -> None:
     pooled.sockets.limit = 2
     pooled.server.heard = lambda peer: None
-    sent = [pooled.send() for _ in range(2)]
+    unanswered = [pooled.send() for _ in range(2)]
     assert (await pooled.send()).outcome is Outcome.CONNECT_FAILED
-    assert not any(s.done() for s in sent)
+    assert not any(attempt.done() for attempt in unanswered)
 
 
 async def test_where_reused_connections_often_fail_a_non_idempotent_request_gets_a_new_one(
     pooled: PooledBackend, no_reuse_delay: None
 ) -> None:
-    """A reset right at the next request: a safe one is sent again, an unsafe one would have failed."""
+    """After a reset at the next request, only an idempotent request can be sent again."""
     pooled.server.heard = answers_once
     outcomes = [await pooled.outcome() for _ in range(6)]
-    assert outcomes == [Outcome.OK, Outcome.RESET] * 3  # safe ones go on as before
+    assert outcomes == [Outcome.OK, Outcome.RESET] * 3  # idempotent requests still reuse connections
     for _ in range(4):
         done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
         pooled.backends.send(1, REQUEST, done.set_result, non_idempotent=True)
@@ -156,36 +159,36 @@
         peer.transport.abort()
 
 
-@pytest.mark.parametrize(("size", "kept"), [(4, 3), (48, 1)])
-async def test_a_large_fleet_keeps_fewer_idle_connections_to_a_backend(size: int, kept: int) -> None:
+@pytest.mark.parametrize(("size", "max_idle"), [(4, 3), (48, 1)])
+async def test_a_large_fleet_keeps_fewer_idle_connections_to_a_backend(size: int, max_idle: int) -> None:
     backend = await PeerServer(answers(OK)).start()
     backends = UpstreamClient(DescriptorBudget(1024).backends, 10_000_000, 250_000, fleet_size=size)
     backends.register_endpoint(entry("s-1", backend.port), 1)
-    asked: list[asyncio.Future[AttemptResult]] = []
+    results: list[asyncio.Future[AttemptResult]] = []
     for _ in range(3):
-        asked.append(asyncio.get_running_loop().create_future())
-        backends.send(1, b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n", asked[-1].set_result)
-    assert [(await each).outcome for each in asked] == [Outcome.OK] * 3
-    assert len(backends._pools[1].idle) == kept
+        results.append(asyncio.get_running_loop().create_future())
+        backends.send(1, b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n", results[-1].set_result)
+    assert [(await result).outcome for result in results] == [Outcome.OK] * 3
+    assert len(backends._pools[1].idle) == max_idle
     backends.stop()
     backend.stop()
 
 
-COPY = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy"
+DUPLICATE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy"
 
 
-async def test_a_late_duplicate_response_is_not_taken_for_the_next_requests(
+async def test_a_late_duplicate_response_is_not_taken_for_that_of_the_next_request(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """It comes once the next request is on its way: only after a delay is the connection surely through."""
+    """The duplicate may follow the next request, so a connection is not reused until after a delay."""
     first = asyncio.create_task(ingress.ask(request("r0")))
     await backend.until(lambda: asked(backend) == [b"r0"])
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
     second = asyncio.create_task(ingress.ask(request("r1")))
     await backend.until(lambda: b"r1" in asked(backend))
-    backend.peers[0].transport.write(COPY)
-    await backend.until(lambda: backend.peers[0] in backend.closed)  # costs its own connection, no request
+    backend.peers[0].transport.write(DUPLICATE)
+    await backend.until(lambda: backend.peers[0] in backend.closed)  # no request fails
     backend.peers[-1].transport.write(OK)
     assert (await second).endswith(b"warm")
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""A drain by operators, and a process that has handed over, as clients see them."""
+"""Draining, by operators and after a handover to another process, as clients see it."""
 
 from __future__ import annotations
 
@@ -22,15 +22,19 @@
 )
 
 
-async def test_a_drain_says_no_closes_after_answers_and_is_undone(monkeypatch: pytest.MonkeyPatch) -> None:
-    up = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
+async def test_a_drain_fails_health_checks_closes_after_responses_and_can_be_undone(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    health_check = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
     server = await PeerServer(answers(OK)).start()
     ingress = Ingress(Script(send_first))
     await ingress.start()
-    box = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
-    ingress.engine.update_endpoints(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": [box]}))
+    endpoint = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
+    ingress.engine.update_endpoints(
+        decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": [endpoint]})
+    )
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
-    idle_writer.write(up)
+    idle_writer.write(health_check)
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
     busy, busy_writer = await asyncio.open_connection(HOST, ingress.port)
     server.heard = lambda peer: None
@@ -40,18 +44,18 @@
     monkeypatch.setattr(timeouts_module, "IDLE_TIMEOUT_S", 1000.0)
     ingress.listener.set_out_of_service(True)
     async with asyncio.timeout(10):
-        assert await idle.read() == b""  # long before an idle connection is closed otherwise
-    assert (await ingress.ask(up)).startswith(b"HTTP/1.1 503 ")
+        assert await idle.read() == b""  # long before the regular idle timeout
+    assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 503 ")
     server.heard = answers(OK)
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.heard(server.peers[0])
     first, second = await read_answer(busy), await read_answer(busy)
     assert first.startswith(b"HTTP/1.1 200 ") and second.startswith(b"HTTP/1.1 200 ")
     assert b"Connection: close" in second and await busy.read() == b""
-    late = await ingress.ask(request("late"))  # what comes all the same is served
-    assert late.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in late
+    new_answer = await ingress.ask(request("late"))  # new requests are still served
+    assert new_answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in new_answer
     ingress.listener.set_out_of_service(False)
-    assert (await ingress.ask(up)).startswith(b"HTTP/1.1 200 ")
+    assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 200 ")
     assert b"Connection: close" not in await ingress.ask(request("r3"))
     for writer in (idle_writer, busy_writer):
         writer.close()
@@ -60,22 +64,26 @@
 
 
 async def test_a_process_that_has_handed_over_does_not_take_the_ingress_out_of_service() -> None:
-    up = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
+    health_check = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
     ingress = Ingress(Script(send_first))
     await ingress.start()
-    open_ones = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
+    clients = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
     while len(ingress.listener.connections) < 3:
         await asyncio.sleep(0)
-    ends: list[bytes] = []
+    statuses: list[bytes] = []
     listener = ingress.listener
-    for state in (listener.hand_over, lambda: listener.set_out_of_service(True), listener.begin_shutdown):
-        state()
-        reader, writer = open_ones[len(ends)]
-        writer.write(up)
+    for enter_state in (
+        listener.hand_over,
+        lambda: listener.set_out_of_service(True),
+        listener.begin_shutdown,
+    ):
+        enter_state()
+        reader, writer = clients[len(statuses)]
+        writer.write(health_check)
         answer = await read_answer(reader)
         assert b"Connection: close" in answer
-        ends.append(answer.split(b" ")[1])
+        statuses.append(answer.split(b" ")[1])
         ingress.listener.set_out_of_service(False)
         writer.close()
-    assert ends == [b"200", b"503", b"200"]
+    assert statuses == [b"200", b"503", b"200"]
     ingress.stop()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Long bodies are streamed in pair directions, with back-pressure, and may break on the way."""
+"""Streaming of long bodies in both directions, with back-pressure and interruptions."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: 1048576\r\n" in head
-        assert await reader.readexactly(1000) == MEGABYTE[:1000]  # long before its end
+        assert await reader.readexactly(1000) == MEGABYTE[:1000]  # before the body is complete
         peer.transport.write(MEGABYTE[1000:])
         assert await reader.readexactly(1047576) == MEGABYTE[1000:]
-    (begun,) = pair.ingress.script.of(StreamStarted)
+    (started,) = pair.ingress.script.of(StreamStarted)
     (ended,) = await pair.ingress.script.seen(AttemptEnded)
-    assert begun.request == 1 and ended.outcome is Outcome.OK and ended.request_ended
+    assert started.request == 1 and ended.outcome is Outcome.OK and ended.request_ended
     pair.server.heard = answers(OK)
     peer.data = b""
     writer.write(request("a2"))
@@ -55,8 +55,8 @@
     peer = await pair.heard()
     if ending == "chunks":
         peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for at in range(0, len(MEGABYTE), 100_000):
-            part = MEGABYTE[at : at + 100_000]
+        for offset in range(0, len(MEGABYTE), 100_000):
+            part = MEGABYTE[offset : offset + 100_000]
             peer.transport.write(b'%x;note="a;b"\r\n%b\r\n' % (len(part), part))
         peer.transport.write(b"0\r\nTrailer-Field: x\r\n\r\n")
     else:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1048576", b"Transfer-Encoding: chunked"])
-async def test_a_truncated_response_is_recognizable(pair: IngressAndBackend, framing: bytes) -> None:
+async def test_clients_can_detect_a_truncated_response(pair: IngressAndBackend, framing: bytes) -> None:
     reader, writer = await pair.connect(request())
     peer = await pair.heard()
     part = MEGABYTE[:300_000]
@@ -112,7 +112,7 @@
         for _ in range(200):
             await asyncio.sleep(0)
     assert pair.memory_budget.used < 8 * BODY_BUFFER_BYTES
-    assert peer.transport.get_write_buffer_size() > 4 * len(MEGABYTE)  # held up where it comes from
+    assert peer.transport.get_write_buffer_size() > 4 * len(MEGABYTE)  # back-pressure reaches the backend
     writer.transport.resume_reading()
     async with asyncio.timeout(20):
         await reader.readuntil(b"\r\n\r\n")
@@ -122,7 +122,7 @@
     writer.close()
 
 
-async def test_a_client_that_leaves_in_mid_response_ends_the_attempt(pair: IngressAndBackend) -> None:
+async def test_a_disconnect_during_a_response_ends_the_attempt(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(request())
     peer = await pair.heard()
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n" + MEGABYTE[:200_000])
@@ -135,19 +135,19 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-async def test_a_long_body_is_streamed_as_the_backend_takes_it(
+async def test_a_long_body_is_streamed_at_the_pace_of_the_backend(
     pair: IngressAndBackend, chunked: bool
 ) -> None:
     body = MEGABYTE * 8
     framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {len(body)}"
     reader, writer = await pair.connect(save(framing))
 
-    def stop(peer: Peer) -> None:
+    def pause_reading(peer: Peer) -> None:
         peer.transport.pause_reading()
 
-    pair.server.heard = stop
-    for at in range(0, len(body), 200_000):
-        part = body[at : at + 200_000]
+    pair.server.heard = pause_reading
+    for offset in range(0, len(body), 200_000):
+        part = body[offset : offset + 200_000]
         writer.write(b"%x\r\n%b\r\n" % (len(part), part) if chunked else part)
     writer.write(b"0\r\n\r\n" if chunked else b"")
     peer = await pair.heard()
@@ -160,18 +160,18 @@
     )
     pair.server.heard = lambda peer: None
     peer.transport.resume_reading()
-    last = b"\r\n0\r\n\r\n" if chunked else body[-1000:]
+    final_bytes = b"\r\n0\r\n\r\n" if chunked else body[-1000:]
     async with asyncio.timeout(20):
-        await pair.server.until(lambda: peer.data.endswith(last) and len(peer.data) > len(body))
+        await pair.server.until(lambda: peer.data.endswith(final_bytes) and len(peer.data) > len(body))
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
-    head, _, passed = peer.data.partition(b"\r\n\r\n")
+    head, _, forwarded_body = peer.data.partition(b"\r\n\r\n")
     assert (b"Transfer-Encoding: chunked" if chunked else b"Content-Length: %d" % len(body)) in head
     if chunked:
-        feed = asyncio.StreamReader(limit=len(passed))
-        feed.feed_data(passed)
-        passed = await read_chunked(feed)
-    assert passed == body and pair.memory_budget.used == 0
+        chunked_reader = asyncio.StreamReader(limit=len(forwarded_body))
+        chunked_reader.feed_data(forwarded_body)
+        forwarded_body = await read_chunked(chunked_reader)
+    assert forwarded_body == body and pair.memory_budget.used == 0
     assert len(pair.ingress.script.of(RequestArrived)) == 1
     writer.close()
 
@@ -179,15 +179,15 @@
 async def test_a_buffered_body_is_sent_again_on_another_connection(pair: IngressAndBackend) -> None:
     body, script = MEGABYTE[: 4 * BODY_BUFFER_BYTES], pair.ingress.script
 
-    def twice(event: Event) -> list[Action]:
-        again = isinstance(event, AttemptEnded) and event.outcome is Outcome.RESET
-        return [SendAttempt(1, 1, 0)] if again else send_first(event)
+    def retry_after_reset(event: Event) -> list[Action]:
+        is_reset = isinstance(event, AttemptEnded) and event.outcome is Outcome.RESET
+        return [SendAttempt(1, 1, 0)] if is_reset else send_first(event)
 
-    def heard(peer: Peer) -> None:
+    def respond_or_reset(peer: Peer) -> None:
         if peer.data.endswith(body):
             peer.transport.write(OK) if len(pair.server.peers) == 2 else peer.transport.abort()
 
-    script.rule, pair.server.heard = twice, heard
+    script.rule, pair.server.heard = retry_after_reset, respond_or_reset
     reader, writer = await pair.connect(save(f"Content-Length: {len(body)}") + body)
     assert (await read_answer(reader)).endswith(b"warm")
     assert all(peer.data.endswith(b"\r\n\r\n" + body) for peer in pair.server.peers)
@@ -195,40 +195,40 @@
 
 
 async def test_a_partly_discarded_body_is_not_sent_again(pair: IngressAndBackend) -> None:
-    def again(event: Event) -> list[Action]:
+    def retry_until_not_sent(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_SENT:
             return [Reject(1, 250_000)]
         return [SendAttempt(1, 1, 0)] if isinstance(event, AttemptEnded) else send_first(event)
 
-    pair.ingress.script.rule = again
+    pair.ingress.script.rule = retry_until_not_sent
     pair.server.heard = lambda peer: (
         peer.transport.abort() if len(peer.data) > MAX_BUFFERED_REQUEST_BYTES else None
     )
     reader, writer = await pair.connect(save(f"Content-Length: {8 * len(MEGABYTE)}"))
     writer.write(MEGABYTE * 2)
-    answer = await read_answer(reader)  # at once, though the body has not come
+    answer = await read_answer(reader)  # before the whole body has been received
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Connection: close" in answer
     outcomes = [e.outcome for e in pair.ingress.script.of(AttemptEnded)]
     assert outcomes == [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
-    writer.write(MEGABYTE)  # thrown away, so that it does not reset what was answered
+    writer.write(MEGABYTE)  # discarded, so that no reset loses the response
     async with asyncio.timeout(10):
         assert await reader.read() == b"" and pair.memory_budget.used == 0
     writer.close()
 
 
-def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
-    world = FakeNetwork(Script(sender(timeout=300_000)))
+def test_the_timeout_of_a_request_starts_at_its_last_byte() -> None:
+    network = FakeNetwork(Script(sender(timeout=300_000)))
     body = Body(MemoryBudget())
     body.declared_length = 1_000_000
-    wanted = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
-    assert world.engine.on_request(wanted, world)
-    world.pass_time(30_000_000)  # a slow client: neither its deadline nor the attempt's runs
-    assert not world.answers and not world.sent[0].aborted
+    parsed = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
+    assert network.engine.on_request(parsed, network)
+    network.pass_time(30_000_000)  # a slow client: neither its timeout nor the attempt's is running
+    assert not network.answers and not network.sent[0].aborted
     body.complete = True
-    world.engine.on_body_complete(b"a", world.time)
-    world.pass_time(299_000)
-    assert not world.sent[0].aborted
-    world.pass_time(2_000)
-    assert world.sent[0].aborted
-    (ended,) = world.script.of(AttemptEnded)
+    network.engine.on_body_complete(b"a", network.time)
+    network.pass_time(299_000)
+    assert not network.sent[0].aborted
+    network.pass_time(2_000)
+    assert network.sent[0].aborted
+    (ended,) = network.script.of(AttemptEnded)
     assert ended.outcome is Outcome.TIMEOUT and ended.latency == 300_000
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback sockets: the protocol page's outcomes, giving up, health checks."""
+"""Attempts over loopback sockets: the outcomes that the protocol page defines, aborts, health checks."""
 
 from __future__ import annotations
 
@@ -42,60 +42,62 @@
 async def test_outcomes_of_a_connection_that_ends(
     pooled: PooledBackend, reply: bytes, outcome: Outcome
 ) -> None:
-    def heard(peer: object) -> None:
+    def respond_and_close(peer: object) -> None:
         pooled.server.peers[0].transport.write(reply)
         pooled.server.peers[0].transport.close()
 
-    pooled.server.heard = heard
+    pooled.server.heard = respond_and_close
     assert await pooled.outcome() is outcome
 
 
-async def test_a_refused_connection_never_ran(pooled: PooledBackend) -> None:
-    with socket.create_server((HOST, 0)) as closing:
-        port = closing.getsockname()[1]
+async def test_a_refused_connection_ends_as_connect_failed(pooled: PooledBackend) -> None:
+    with socket.create_server((HOST, 0)) as closed_server:
+        port = closed_server.getsockname()[1]
     pooled.list(port=port)
     assert await pooled.outcome() is Outcome.CONNECT_FAILED
     assert pooled.sockets.in_use == 0
 
 
-async def test_a_connection_that_never_comes_up_never_ran(pooled: PooledBackend) -> None:
-    with socket.socket() as full:  # a line of one, filled: further connections hang
-        full.bind((HOST, 0))
-        full.listen(0)
+async def test_a_connect_timeout_ends_as_connect_failed(pooled: PooledBackend) -> None:
+    with socket.socket() as listener:  # with a full accept queue, so that further connections hang
+        listener.bind((HOST, 0))
+        listener.listen(0)
         fillers = [socket.socket() for _ in range(4)]
         for filler in fillers:
             filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
-        pooled.list(port=full.getsockname()[1])
+            filler.connect_ex(listener.getsockname())
+        pooled.list(port=listener.getsockname()[1])
         assert await pooled.outcome() is Outcome.CONNECT_FAILED
         for filler in fillers:
             filler.close()
     assert pooled.sockets.in_use == 0
 
 
-async def test_out_of_descriptors_never_ran(pooled: PooledBackend, monkeypatch: pytest.MonkeyPatch) -> None:
-    def none_left(*_: object) -> None:
+async def test_running_out_of_descriptors_ends_as_connect_failed(
+    pooled: PooledBackend, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def raise_emfile(*_: object) -> None:
         raise OSError(24, "Too many open files")
 
-    monkeypatch.setattr("quota_ingress.net.upstream.pool.socket.socket", none_left)
+    monkeypatch.setattr("quota_ingress.net.upstream.pool.socket.socket", raise_emfile)
     assert await pooled.outcome() is Outcome.CONNECT_FAILED
     assert pooled.sockets.in_use == 0
 
 
 async def test_aborting_closes_the_connection_before_anything_else_is_sent(pooled: PooledBackend) -> None:
-    seen: list[int] = []
-    pooled.server.heard = lambda peer: seen.append(len(pooled.server.peers))
+    received: list[int] = []
+    pooled.server.heard = lambda peer: received.append(len(pooled.server.peers))
     pooled.send()
-    await pooled.server.until(lambda: len(seen) == 1)
+    await pooled.server.until(lambda: len(received) == 1)
     (connection,) = pooled.backends._pools[1].busy
     assert pooled.exchange.abort() is True
-    with pytest.raises(BrokenPipeError):  # our sending has ended, in the very same step
+    with pytest.raises(BrokenPipeError):  # `abort` shuts the socket down before it returns
         connection.sock.send(b"x")
     await pooled.server.until(lambda: len(pooled.server.closed) == 1)
     assert pooled.sockets.in_use == 0
 
 
-async def test_an_attempt_aborted_while_connecting_never_ran(pooled: PooledBackend) -> None:
+async def test_an_attempt_aborted_while_connecting_has_not_run(pooled: PooledBackend) -> None:
     pooled.send()
     assert pooled.exchange.abort() is False
 
@@ -105,14 +107,14 @@
     pooled.backends.probe(1, done.set_result)
     assert (await done).outcome is Outcome.OK
     pooled.server.heard = lambda peer: None
-    silent: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-    pooled.backends.probe(1, silent.set_result)
-    assert (await silent).outcome is Outcome.TIMEOUT
+    unanswered: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
+    pooled.backends.probe(1, unanswered.set_result)
+    assert (await unanswered).outcome is Outcome.TIMEOUT
 
 
 async def test_a_response_too_long_to_buffer_fails_at_its_head(pooled: PooledBackend) -> None:
     pooled.server.heard = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
-    assert await pooled.outcome() is Outcome.ERROR  # though none of the body has come
+    assert await pooled.outcome() is Outcome.ERROR  # before any byte of the body
 
 
 @pytest.mark.parametrize(
@@ -125,6 +127,6 @@
         b"Transfer-Encoding: chunked\r\nContent-Length: 4",
     ],
 )
-async def test_a_response_with_a_malformed_head_may_have_run(pooled: PooledBackend, head: bytes) -> None:
+async def test_a_malformed_response_head_ends_as_error(pooled: PooledBackend, head: bytes) -> None:
     pooled.server.heard = answers(b"HTTP/1.1 200 OK\r\n%b\r\n\r\nwarm" % head)
-    assert await pooled.outcome() is Outcome.ERROR  # a reset would say that the backend is down
+    assert await pooled.outcome() is Outcome.ERROR  # may have run; RESET would mean that it is down
