--- a/quota_ingress/net/downstream/close_reason.py
+++ b/quota_ingress/net/downstream/close_reason.py
@@ -13,7 +13,7 @@
     EVICTED = "evicted"  # its descriptor was needed
     LINGER_TIMEOUT = "linger timeout"  # the client was still sending after its last response
     RESPONSE_UNREAD = "response unread"
-    RESPONSE_TRUNCATED = "response truncated"  # by the backend; only a close tells the client
+    RESPONSE_TRUNCATED = "response truncated"  # by the backend; the close lets the client detect it
     CLIENT_LEFT = "client left"
     PROCESS_END = "process end"
 
--- a/quota_ingress/net/downstream/response_writer.py
+++ b/quota_ingress/net/downstream/response_writer.py
@@ -45,7 +45,7 @@
         self._offset = 0
 
     def forward(self, transport: asyncio.Transport) -> StreamState:
-        """Writes the body as far as it has been received, until the client does not read.
+        """Writes the body as far as it has been received, while the client reads.
 
         Releases the body once all of it is written.
         """
--- a/quota_ingress/net/downstream/timeouts.py
+++ b/quota_ingress/net/downstream/timeouts.py
@@ -8,9 +8,9 @@
 HEAD_TIMEOUT_S = 2.5  # from connecting, or from a later request's first byte, until the head is complete
 IDLE_TIMEOUT_S = 2.0  # between requests; clients have a limited number of connections
 DRAINING_IDLE_TIMEOUT_S = 0.25  # IDLE_TIMEOUT_S while draining; long enough to read the last response
-MIN_BODY_BYTES_PER_S = 32_000  # less than any client sends; 32 kB received extend the timeout by 1 s
+MIN_BODY_BYTES_PER_S = 32_000  # below any client; every 32 kB received extend the timeout by 1 s
 BODY_STALL_TIMEOUT_S = 2.0  # without a byte of a body, however fast it arrived before
-LINGER_TIMEOUT_S = 1.0  # for a client that still sends after its last response, so that it can read it
+LINGER_TIMEOUT_S = 1.0  # for a client that still sends after its last response, which it may read late
 UNREAD_TIMEOUT_S = 4.0  # without a byte read by the client while a response waits
 REQUEST_TIMEOUT_STATUS = 408
 US_PER_S = 1_000_000
--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -24,7 +24,7 @@
     return int(head.partition(b"Request-Timeout: ")[2].partition(b"m")[0]) / 1000
 
 
-async def test_a_pipelined_request_has_the_time_left_since_its_arrival(
+async def test_a_pipelined_request_is_forwarded_with_its_remaining_time(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     _, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -37,7 +37,7 @@
     writer.close()
 
 
-async def test_a_request_that_arrived_while_reading_was_paused_has_the_time_left(
+async def test_a_request_that_arrived_while_reading_was_paused_is_forwarded_with_its_remaining_time(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """More requests wait than are read ahead, so the last ones stay in the socket until reading resumes."""
@@ -60,7 +60,7 @@
     writer.close()
 
 
-async def test_a_request_from_the_accept_queue_has_the_time_left(
+async def test_a_request_from_the_accept_queue_is_forwarded_with_its_remaining_time(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     ingress.listener.pause_accepting()
@@ -88,7 +88,9 @@
     writer.close()
 
 
-async def test_a_request_from_an_inherited_accept_queue_has_the_time_left(backend: PeerServer) -> None:
+async def test_a_request_from_an_inherited_accept_queue_is_forwarded_with_its_remaining_time(
+    backend: PeerServer,
+) -> None:
     """The previous process has ended, and the platform holds its listening socket until this one accepts."""
     with socket.create_server((HOST, 0)) as listening:
         _, writer = await asyncio.open_connection(*listening.getsockname())
