--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -90,7 +90,7 @@
     first = asyncio.create_task(ingress.ask(request("same")))
     await ingress.script.seen(RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
-    # Closing the second connection is not reported as a disconnect of the first client.
+    # The close of the second connection does not count as a disconnect of the first request's client.
     assert not ingress.script.of(ClientDisconnected)
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -90,7 +90,7 @@
     slow_writer.write(request("x")[30:60])
     while not any(c._last_data_at == now[0] for c in ingress.listener.stages.awaiting_first_request):
         await asyncio.sleep(0)
-    # No head has stalled for STALL_TIMEOUT_S yet, so no connection is evicted.
+    # No head has stalled for STALL_TIMEOUT_S: each may still be completed, so none is evicted yet.
     assert (await ingress.ask(request("early"))).startswith(b"HTTP/1.1 503 ")
     now[0] += 200_000
     for number in range(3):
