--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -95,7 +95,7 @@
         return self.endpoints.directory
 
     @property
-    def unfinished(self) -> int:
+    def unfinished_count(self) -> int:
         """Requests that are not forgotten: without an answer, or with an attempt in flight."""
         return len(self._requests)
 
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -97,7 +97,7 @@
         if self._upgrade:
             self._upgrade.stop()
         open_counts = {
-            "requests": lambda: self.engine.unfinished,
+            "requests": lambda: self.engine.unfinished_count,
             "client connections": lambda: self.descriptors.clients.in_use,
             "backend connections": lambda: self.descriptors.backends.in_use,
             "bytes": lambda: self.memory.used,
