--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -58,7 +58,7 @@
         in_flight: Requests that have no final answer yet.
         ending: The process is about to end: new requests are rejected, as no answer would come in time.
         counter: The client of the shared counter in force; None without one.
-        attempts: The attempts of all requests.
+        attempt_runner: Runs the attempts of all requests.
         endpoints: The endpoints that the policy is told of.
     """
 
@@ -81,7 +81,7 @@
         self.counter: CounterService | None = None
         self.in_flight = 0
         self.ending = False
-        self.attempts = AttemptRunner(self, upstream, settings, index, loop, now, self.event_log)
+        self.attempt_runner = AttemptRunner(self, upstream, settings, index, loop, now, self.event_log)
         self.endpoints = EndpointRegistry(settings, index, upstream)
         self._policy = policy
         self._loop = loop
@@ -145,7 +145,7 @@
             self._start_deadline(request, self.now())
             for attempt in request.attempts:
                 if not attempt.ended:
-                    self.attempts.start_timer(request, attempt)
+                    self.attempt_runner.start_timer(request, attempt)
 
     def on_disconnect(self, request_id: bytes) -> None:
         """Takes in that the client of a request has left."""
@@ -153,7 +153,7 @@
         if request and not request.answered:
             self._end_disconnected(request)
         elif request:
-            self.attempts.abort_streaming(request)
+            self.attempt_runner.abort_streaming(request)
 
     def check_disconnected(self, request: Request) -> None:
         """Ends the request if its client has left.
@@ -170,7 +170,7 @@
         if request.timer:
             request.timer.cancel()
         if request.body_coming:
-            self.attempts.abort_waiting_for_body(request)
+            self.attempt_runner.abort_waiting_for_body(request)
         self.in_flight -= 1
 
     def fail_all(self) -> None:
@@ -206,7 +206,7 @@
     def _end_disconnected(self, request: Request) -> None:
         self.event_log.event("ended", "client disconnected", id=request.parsed.id)
         self.mark_answered(request)
-        self.attempts.withdraw_unwritten(request)
+        self.attempt_runner.withdraw_unwritten(request)
         self.post(ClientDisconnected(request.number))
 
     # Events from discovery and from another process.
@@ -289,7 +289,7 @@
     def _send(self, action: SendAttempt) -> None:
         request = self._requests.get(action.request)
         if request:
-            self.attempts.begin(request, action.endpoint, action.timeout)
+            self.attempt_runner.begin(request, action.endpoint, action.timeout)
         else:
             self._events.append(
                 AttemptEnded(action.request, 0, action.endpoint, Outcome.NOT_SENT, 0, request_ended=True)
@@ -297,7 +297,7 @@
 
     def _cancel(self, action: CancelAttempt) -> None:
         if request := self._requests.get(action.request):
-            self.attempts.cancel(request, action.attempt)
+            self.attempt_runner.cancel(request, action.attempt)
 
     def _reject(self, action: Reject) -> None:
         request = self._requests.get(action.request)
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -75,7 +75,7 @@
     classes = tuple(
         replace(c, deduplication_window=window) if c.name == "save" else c for c in SETTINGS.classes
     )
-    ingress.engine.attempts.settings = replace(SETTINGS, classes=classes)
+    ingress.engine.attempt_runner.settings = replace(SETTINGS, classes=classes)
 
     def repeats(event: Event) -> list[Action]:
         again = isinstance(event, AttemptEnded) and event.outcome is Outcome.RESET
