--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -35,7 +35,7 @@
     list_version: int
     endpoint_count: int
     offline: tuple[str, ...]
-    restarted_at: Mapping[str, int]  # us of the shared clock, by name, of those put back online
+    back_online_at: Mapping[str, int]  # us of the shared clock, by name, of those put back online
     removed_names: tuple[str, ...]
 
 
@@ -52,8 +52,8 @@
         """
         self.offline: set[str] = set()
         self.list_version = 0
-        self._restart_moments: dict[str, int] = {}  # us, by name: when operators put it back online
-        self._start_when_restored: dict[
+        self._back_online_at: dict[str, int] = {}  # us, by name: when operators put it back online
+        self._reported_start_when_back: dict[
             str, int
         ] = {}  # as discovery said then: a later start ends the override
         self._now = now
@@ -90,7 +90,7 @@
             list_version=self.list_version,
             endpoint_count=len(self._directory),
             offline=tuple(sorted(self.offline)),
-            restarted_at=dict(self._restart_moments),
+            back_online_at=dict(self._back_online_at),
             removed_names=tuple(sorted(unlisted)),
         )
 
@@ -123,12 +123,12 @@
         for name in snapshot.removed_names:
             self._remember_name(name)
         self.offline = set(snapshot.offline)
-        self._restart_moments = dict(snapshot.restarted_at)
+        self._back_online_at = dict(snapshot.back_online_at)
         return endpoints
 
-    def restarted_at(self, name: str) -> int:
+    def back_online_at(self, name: str) -> int:
         """Returns when operators put the endpoint back online, in us; 0 where another start counts."""
-        return self._restart_moments.get(name, 0)
+        return self._back_online_at.get(name, 0)
 
     def apply_operator_call(self, name: str, is_offline: bool) -> None:
         """Follows a call that the other process of this ingress has answered."""
@@ -153,8 +153,8 @@
             return False
         if name in self.offline:
             self.offline.discard(name)
-            self._restart_moments[name] = self._now()
-            self._start_when_restored.pop(name, None)
+            self._back_online_at[name] = self._now()
+            self._reported_start_when_back.pop(name, None)
             self._publish_entry(name)
             self._remember_name(name)
         return True
@@ -162,8 +162,8 @@
     def _overridden_names(self, endpoints: EndpointList) -> Iterable[str]:
         packed = endpoints.packed
         if endpoints.is_snapshot:
-            return packed.keys() & (self.offline | self._restart_moments.keys())
-        return [name for name in packed if name in self.offline or name in self._restart_moments]
+            return packed.keys() & (self.offline | self._back_online_at.keys())
+        return [name for name in packed if name in self.offline or name in self._back_online_at]
 
     def _forget_removed(self, endpoints: EndpointList) -> None:
         packed = endpoints.packed
@@ -199,12 +199,12 @@
     def _with_override(self, entry: EndpointEntry) -> EndpointEntry:
         if entry.state is EndpointState.READY and entry.name in self.offline:
             return replace(entry, state=EndpointState.DRAINING)
-        if entry.name not in self._restart_moments:
+        if entry.name not in self._back_online_at:
             return entry
         # Discovery's moments and ours are of two clocks, so only a change of discovery's own moment counts.
-        discovered_start = self._start_when_restored.setdefault(entry.name, entry.started_us)
+        discovered_start = self._reported_start_when_back.setdefault(entry.name, entry.started_us)
         if discovered_start != entry.started_us:
-            del self._restart_moments[entry.name]
-            del self._start_when_restored[entry.name]
+            del self._back_online_at[entry.name]
+            del self._reported_start_when_back[entry.name]
             return entry
-        return replace(entry, started_us=self._restart_moments[entry.name])
+        return replace(entry, started_us=self._back_online_at[entry.name])
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -136,7 +136,7 @@
     return {
         "listed": {"index": overrides.list_version, "count": overrides.endpoint_count},
         "out": list(overrides.offline),
-        "back": dict(overrides.restarted_at),
+        "back": dict(overrides.back_online_at),
         "gone": list(overrides.removed_names),
         "drained": state.is_draining,
         "clock": state.clock_base_us,
@@ -222,6 +222,6 @@
         list_version=list_version,
         endpoint_count=endpoint_count,
         offline=tuple(str(name) for name in content["out"]),
-        restarted_at={str(name): int(moment) for name, moment in content["back"].items()},
+        back_online_at={str(name): int(moment) for name, moment in content["back"].items()},
         removed_names=tuple(str(name) for name in content["gone"]),
     )
--- a/tests/support/upgrade.py
+++ b/tests/support/upgrade.py
@@ -16,7 +16,7 @@
 
 STATE = ServingState(
     overrides=OverridesSnapshot(
-        list_version=1, endpoint_count=2, offline=(), restarted_at={}, removed_names=()
+        list_version=1, endpoint_count=2, offline=(), back_online_at={}, removed_names=()
     ),
     is_draining=True,
     clock_base_us=5,
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -133,7 +133,7 @@
     loop = asyncio.new_event_loop()
     engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
     maintenance = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
-    engine.endpoints.restored_at = maintenance.restarted_at
+    engine.endpoints.restored_at = maintenance.back_online_at
 
     def told(*entries: tuple[str, int], whole: bool) -> dict[str, int]:
         named = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in entries]
--- a/tests/test_upgrade_messages.py
+++ b/tests/test_upgrade_messages.py
@@ -62,7 +62,7 @@
     assert isinstance(part, ListPart) and isinstance(answer, Answer)
     state = decode_state(answer.content)
     assert state.overrides.offline == ("s é", "s-0") and state.overrides.removed_names == ("s-3",)
-    assert list(state.overrides.restarted_at) == ["s-1"] and state.overrides.list_version == 5
+    assert list(state.overrides.back_online_at) == ["s-1"] and state.overrides.list_version == 5
     assert not state.is_draining and state.clock_base_us == answer.content["clock"]
     assert json.dumps(encode_state(state)) == json.dumps(answer.content)  # the order of keys, too
 
@@ -75,8 +75,8 @@
         "s-2": "up",
         "s é": "draining",
     }
-    restarted = state.overrides.restarted_at["s-1"]
-    assert overrides.entries["s-1"].started_us == restarted == overrides.restarted_at("s-1")
+    restarted = state.overrides.back_online_at["s-1"]
+    assert overrides.entries["s-1"].started_us == restarted == overrides.back_online_at("s-1")
     assert overrides.snapshot() == state.overrides
     (batch,) = overrides.entry_batches()
     assert encode(ListPart(batch)) == lines("hello.jsonl")[0]  # as discovery told them, without the overrides
