--- a/quota_ingress/net/discovery/endpoint.py
+++ b/quota_ingress/net/discovery/endpoint.py
@@ -18,7 +18,7 @@
         state: Whether it takes requests, drains or has been removed.
         address: Host and port, as this ingress reaches it.
         zone: Name of its failure domain; empty if none was given.
-        kind: Name of its machine type; empty if none was given.
+        machine_type: Name of its machine type; empty if none was given.
         group: Number of the group that it belongs to.
         weight: Its share of the traffic, relative to other endpoints.
         started_us: Unix time of its last start in microseconds; 0 means long ago.
@@ -28,7 +28,7 @@
     state: EndpointState
     address: tuple[str, int]
     zone: str
-    kind: str
+    machine_type: str
     group: int
     weight: float
     started_us: int
--- a/quota_ingress/net/discovery/packed_entry.py
+++ b/quota_ingress/net/discovery/packed_entry.py
@@ -36,7 +36,7 @@
     host, port = entry.address
     code = _READY_CODE if entry.state is _READY else _CODE_BY_STATE[entry.state]
     numbers = f"{port} {entry.group} {entry.weight!r} {entry.started_us:x} {len(host)} {len(entry.zone)}"
-    return PackedEntry(f"{code}{numbers} {host}{entry.zone}{entry.kind}")
+    return PackedEntry(f"{code}{numbers} {host}{entry.zone}{entry.machine_type}")
 
 
 def unpack_entry(name: str, packed: str) -> EndpointEntry:
