--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -21,7 +21,7 @@
 from quota_ingress.net.lifecycle.graceful_shutdown import check_nothing_left, finish_requests
 from quota_ingress.net.lifecycle.reload import ConfigReloader
 from quota_ingress.net.lifecycle.upgrade import UpgradeCoordinator
-from quota_ingress.net.lifecycle.upgrade_messages import DrainCall, EndpointCall, OperatorNote
+from quota_ingress.net.lifecycle.upgrade_messages import DrainCall, EndpointCall, OperatorCall
 from quota_ingress.net.lifecycle.upgrade_process import SharedParts, UpgradeProcess
 from quota_ingress.net.upstream.client import UpstreamClient
 from quota_ingress.policy.endpoint_list import ListKind
@@ -131,9 +131,9 @@
         self.listener.set_out_of_service(is_draining)
         self._notify_other_process(DrainCall(is_draining))
 
-    def _notify_other_process(self, note: OperatorNote) -> None:
+    def _notify_other_process(self, call: OperatorCall) -> None:
         if self._upgrade:
-            self._upgrade.send_operator_note(note)
+            self._upgrade.send_operator_call(call)
 
     # The start.
 
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -23,7 +23,7 @@
     EndpointListChange,
     ListPart,
     MessageError,
-    OperatorNote,
+    OperatorCall,
     Question,
     ServingState,
     decode_state,
@@ -54,7 +54,7 @@
     def hand_over(self) -> Document:
         """Stops accepting, and returns the policy's snapshot: another process serves from now on."""
 
-    def apply_operator_note(self, note: OperatorNote) -> None:
+    def apply_operator_call(self, call: OperatorCall) -> None:
         """Follows an operator's call that the other process has answered."""
 
     def apply_list_change(self, change: EndpointListChange) -> None:
@@ -120,10 +120,10 @@
             return
         self._acceptor.start()
 
-    def send_operator_note(self, note: OperatorNote) -> None:
+    def send_operator_call(self, call: OperatorCall) -> None:
         """Passes on an operator's call that this process has answered."""
         if self._channel:
-            self._channel.send(note)
+            self._channel.send(call)
 
     def send_list_change(self, change: EndpointListChange) -> None:
         """Passes on what discovery has sent, to a process that holds the list before it."""
@@ -160,9 +160,9 @@
         """See ChannelHandler."""
         self._participant.restore_list_part(entries)
 
-    def on_operator_note(self, note: OperatorNote) -> None:
+    def on_operator_call(self, call: OperatorCall) -> None:
         """See ChannelHandler."""
-        self._participant.apply_operator_note(note)
+        self._participant.apply_operator_call(call)
 
     def on_list_change(self, change: EndpointListChange) -> None:
         """See ChannelHandler."""
--- a/quota_ingress/net/lifecycle/upgrade_channel.py
+++ b/quota_ingress/net/lifecycle/upgrade_channel.py
@@ -22,7 +22,7 @@
     ListPart,
     Message,
     MessageError,
-    OperatorNote,
+    OperatorCall,
     Question,
     decode,
     encode,
@@ -43,7 +43,7 @@
     def on_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
         """Some entries of the other process's endpoint list, packed, by name."""
 
-    def on_operator_note(self, note: OperatorNote) -> None:
+    def on_operator_call(self, call: OperatorCall) -> None:
         """The other process has answered an operator's call."""
 
     def on_list_change(self, change: EndpointListChange) -> None:
@@ -134,7 +134,7 @@
                 if self._on_answer:
                     self._handler.on_list_part(entries)
             case EndpointCall() | DrainCall():
-                self._handler.on_operator_note(message)
+                self._handler.on_operator_call(message)
             case EndpointListChange():
                 self._handler.on_list_change(message)
 
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -71,7 +71,7 @@
     is_draining: bool
 
 
-OperatorNote = EndpointCall | DrainCall
+OperatorCall = EndpointCall | DrainCall
 
 
 class EndpointListChange(NamedTuple):
@@ -168,7 +168,7 @@
         case {"part": entries}:
             return ListPart(_decode_entries(entries))
         case {"note": note}:
-            return _decode_note(note)
+            return _decode_operator_call(note)
         case {"listed": change}:
             return _decode_change(change)
         case {"answer": dict(content)}:
@@ -184,7 +184,7 @@
     return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
-def _decode_note(note: Document) -> OperatorNote:
+def _decode_operator_call(note: Document) -> OperatorCall:
     if "drain" in note:
         return DrainCall(bool(note["drain"]))
     return EndpointCall(str(note["backend"]), bool(note["out"]))
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -20,7 +20,7 @@
     DrainCall,
     EndpointCall,
     EndpointListChange,
-    OperatorNote,
+    OperatorCall,
     ServingState,
 )
 
@@ -103,9 +103,9 @@
         self._leaving = asyncio.get_running_loop().create_task(self._leave())
         return engine.hand_over()
 
-    def apply_operator_note(self, note: OperatorNote) -> None:
+    def apply_operator_call(self, call: OperatorCall) -> None:
         """See UpgradeParticipant."""
-        match note:
+        match call:
             case DrainCall(is_draining):
                 self._parts.listener.set_out_of_service(is_draining)
             case EndpointCall(name, is_offline):
--- a/tests/support/upgrade.py
+++ b/tests/support/upgrade.py
@@ -9,7 +9,7 @@
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
 from quota_ingress.net.discovery.packed_entry import PackedEntry, pack_entry
-from quota_ingress.net.lifecycle.upgrade_messages import EndpointListChange, OperatorNote, ServingState
+from quota_ingress.net.lifecycle.upgrade_messages import EndpointListChange, OperatorCall, ServingState
 from tests.net_helpers import HOST, entry
 
 PACKED_ENTRIES = {name: pack_entry(entry(name, 1)) for name in ("a", "b")}
@@ -33,7 +33,7 @@
     """A participant of an upgrade that only records what happens to it."""
 
     def __init__(self) -> None:
-        self.notes: list[OperatorNote] = []
+        self.operator_calls: list[OperatorCall] = []
         self.states: list[ServingState] = []
         self.list_parts_restored: list[Mapping[str, PackedEntry]] = []
         self.changes: list[EndpointListChange] = []
@@ -58,8 +58,8 @@
         self.handovers += 1
         return {"accounts": []}
 
-    def apply_operator_note(self, note: OperatorNote) -> None:
-        self.notes.append(note)
+    def apply_operator_call(self, call: OperatorCall) -> None:
+        self.operator_calls.append(call)
         self.changed.set()
 
     def apply_list_change(self, change: EndpointListChange) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from quota_ingress.net.lifecycle.upgrade_messages import (
     DrainCall,
     EndpointCall,
-    OperatorNote,
+    OperatorCall,
     ServingState,
     encode,
 )
@@ -35,10 +35,10 @@
     assert await coming.find() and (old.handovers, old.descriptor_sharing) == (0, [True])
     assert new.states == [STATE] and new.list_parts_restored == old.list_parts()
     assert await coming.take() == {"accounts": []} and old.handovers == 1
-    coming.send_operator_note(EndpointCall("a", is_offline=True))
-    await old.until(lambda: old.notes == [EndpointCall("a", is_offline=True)])
-    serving.send_operator_note(DrainCall(is_draining=True))
-    await new.until(lambda: new.notes == [DrainCall(is_draining=True)])
+    coming.send_operator_call(EndpointCall("a", is_offline=True))
+    await old.until(lambda: old.operator_calls == [EndpointCall("a", is_offline=True)])
+    serving.send_operator_call(DrainCall(is_draining=True))
+    await new.until(lambda: new.operator_calls == [DrainCall(is_draining=True)])
     coming.send_list_change(list_change(7))  # what discovery tells either of them
     await old.until(lambda: [c.endpoints.version for c in old.changes] == [7])
     serving.send_list_change(list_change(8))
@@ -97,11 +97,11 @@
     new = RecordingParticipant()
     made = overrides_of_own_directory(lambda: 7_000_000)
 
-    def apply_note(note: OperatorNote) -> None:
-        if isinstance(note, EndpointCall):
+    def apply_call(call: OperatorCall) -> None:
+        if isinstance(call, EndpointCall):
             made.apply_operator_call("a", True)
 
-    new.apply_operator_note = apply_note  # type: ignore[method-assign]
+    new.apply_operator_call = apply_call  # type: ignore[method-assign]
     restored: list[ServingState] = []
 
     def restore(state: ServingState) -> None:
