--- a/quota_ingress/net/lifecycle/graceful_shutdown.py
+++ b/quota_ingress/net/lifecycle/graceful_shutdown.py
@@ -38,7 +38,7 @@
         await asyncio.sleep(IDLE_CHECK_SECONDS)
 
 
-async def check_nothing_left(open_counts: Mapping[str, Callable[[], int]], event_log: EventLog) -> None:
+async def report_leaks(open_counts: Mapping[str, Callable[[], int]], event_log: EventLog) -> None:
     """Reports what still counts as open once everything has been closed: it was leaked on the way.
 
     Args:
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -18,7 +18,7 @@
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.net.http import MemoryBudget
 from quota_ingress.net.lifecycle.control_plane import ControlPlaneClients
-from quota_ingress.net.lifecycle.graceful_shutdown import check_nothing_left, finish_requests
+from quota_ingress.net.lifecycle.graceful_shutdown import finish_requests, report_leaks
 from quota_ingress.net.lifecycle.reload import ConfigReloader
 from quota_ingress.net.lifecycle.upgrade import UpgradeCoordinator
 from quota_ingress.net.lifecycle.upgrade_messages import DrainCall, EndpointCall, OperatorCall
@@ -68,7 +68,7 @@
         if config.admin:
             port = await self.admin.listen(*config.admin)
             log.info("operators call at %s:%d", config.admin.host, port)
-        has_predecessor = await self._upgrade.find() if self._upgrade else False
+        has_predecessor = await self._upgrade.find_predecessor() if self._upgrade else False
         self.control_plane.start(self._apply_held_list())
         self.admin.on_list_known()
         await self.control_plane.wait_for_list(LIST_WAIT_SECONDS)
@@ -78,7 +78,7 @@
         self.event_log.event("process", "serving")
         log.info("listening on %s:%d", config.listen.host, port)
         if self._upgrade:
-            self._upgrade.offer()
+            self._upgrade.listen_for_successor()
 
     def reload(self, path: str) -> None:
         """Reads the configuration again, and changes to the control plane that it names."""
@@ -102,7 +102,7 @@
             "backend connections": lambda: self.descriptors.backends.in_use,
             "bytes": lambda: self.memory.used,
         }
-        await check_nothing_left(open_counts, self.event_log)
+        await report_leaks(open_counts, self.event_log)
         self.event_log.event("process", "ended")
         log.info("counts: %s", self.event_log.summary())
 
@@ -183,6 +183,6 @@
         await self.control_plane.wait_for_counter(COUNTER_WAIT_SECONDS)
         gc.collect()
         gc.freeze()
-        snapshot = await self._upgrade.take() if self._upgrade else None
+        snapshot = await self._upgrade.take_over() if self._upgrade else None
         if snapshot is not None:
             self.engine.restore(snapshot)
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -31,7 +31,7 @@
 )
 
 SOCKET_NAME = "handover"  # in the shared directory; versions find one another by it
-OFFER_RETRY_SECONDS = 1.0
+LISTEN_RETRY_SECONDS = 1.0
 
 log = logging.getLogger(__name__)
 
@@ -68,7 +68,10 @@
 
 
 class UpgradeCoordinator:
-    """Both sides: `find` and `take` of the new process, `offer` of the one that serves."""
+    """One process's side of an upgrade.
+
+    A new process calls `find_predecessor` and `take_over`; the serving process calls `listen_for_successor`.
+    """
 
     def __init__(self, participant: UpgradeParticipant, directory: str) -> None:
         """Does nothing yet.
@@ -84,9 +87,9 @@
         self._channel: UpgradeChannel | None = None  # to the other process, if there is one
         self._other_has_list = False  # the other process holds the endpoint list that this one does
         self._acceptor: Acceptor | None = None
-        self._offer_retry: asyncio.TimerHandle | None = None
+        self._listen_retry: asyncio.TimerHandle | None = None
 
-    async def find(self) -> bool:
+    async def find_predecessor(self) -> bool:
         """Looks for a process that serves, and has the participant take over its state.
 
         Returns False where there is none, or it does not answer.
@@ -104,19 +107,22 @@
         self._other_has_list = found
         return found
 
-    async def take(self) -> Document | None:
-        """Takes over: the process found by `find` accepts no more. Returns its policy's snapshot, if any."""
+    async def take_over(self) -> Document | None:
+        """Makes the process found by `find_predecessor` stop accepting, and returns its policy's snapshot.
+
+        Returns None if no process was found, or it did not answer.
+        """
         return await self._ask(Question.TAKE)
 
-    def offer(self) -> None:
+    def listen_for_successor(self) -> None:
         """Listens for a new process. Where that fails it is tried again until `stop`."""
-        self._withdraw_offer()
+        self._stop_listening()
         try:
             self._acceptor = self._listen()
         except OSError as error:
             log.warning("upgrade: no upgrade can be offered: %s", error)
             loop = asyncio.get_running_loop()
-            self._offer_retry = loop.call_later(OFFER_RETRY_SECONDS, self.offer)
+            self._listen_retry = loop.call_later(LISTEN_RETRY_SECONDS, self.listen_for_successor)
             return
         self._acceptor.start()
 
@@ -132,7 +138,7 @@
 
     def stop(self) -> None:
         """Ends the channel and the offer. The socket's name stays: it is stale now, or the next process's."""
-        self._withdraw_offer()
+        self._stop_listening()
         channel = self._channel
         self._channel = None
         if channel:
@@ -178,7 +184,7 @@
         if self._has_handed_over:
             self._has_handed_over = False
             self._participant.on_successor_lost()
-            self.offer()  # the other one may have offered itself under the same name
+            self.listen_for_successor()  # the other one may have offered itself under the same name
 
     def _describe(self, channel: UpgradeChannel) -> Document:
         self._participant.share_descriptors(with_other=True)
@@ -218,10 +224,10 @@
             raise
         return acceptor
 
-    def _withdraw_offer(self) -> None:
-        if self._offer_retry:
-            self._offer_retry.cancel()
-            self._offer_retry = None
+    def _stop_listening(self) -> None:
+        if self._listen_retry:
+            self._listen_retry.cancel()
+            self._listen_retry = None
         if self._acceptor:
             self._acceptor.close()
             self._acceptor = None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -31,10 +31,10 @@
     old, new = RecordingParticipant(), RecordingParticipant()
     serving = coordinator(tmp_path, old)
     coming = coordinator(tmp_path, new)
-    serving.offer()
-    assert await coming.find() and (old.handovers, old.descriptor_sharing) == (0, [True])
+    serving.listen_for_successor()
+    assert await coming.find_predecessor() and (old.handovers, old.descriptor_sharing) == (0, [True])
     assert new.states == [STATE] and new.list_parts_restored == old.list_parts()
-    assert await coming.take() == {"accounts": []} and old.handovers == 1
+    assert await coming.take_over() == {"accounts": []} and old.handovers == 1
     coming.send_operator_call(EndpointCall("a", is_offline=True))
     await old.until(lambda: old.operator_calls == [EndpointCall("a", is_offline=True)])
     serving.send_operator_call(DrainCall(is_draining=True))
@@ -45,11 +45,11 @@
     await new.until(lambda: [c.endpoints.version for c in new.changes] == [8])
     assert encode(new.changes[0]) == encode(list_change(8))
     assert encode(old.changes[0]) == encode(list_change(7))
-    coming.offer()  # for the next one, under the same name
+    coming.listen_for_successor()  # for the next one, under the same name
     third_process = RecordingParticipant()
     third = coordinator(tmp_path, third_process)
     serving.stop()
-    assert await third.find() and third_process.states == [STATE] and old.handovers == 1
+    assert await third.find_predecessor() and third_process.states == [STATE] and old.handovers == 1
     third.stop()
     coming.stop()
 
@@ -58,14 +58,14 @@
     old = RecordingParticipant()
     serving = coordinator(tmp_path, old)
     coming = coordinator(tmp_path)
-    serving.offer()
-    await coming.find()
-    await coming.take()
+    serving.listen_for_successor()
+    await coming.find_predecessor()
+    await coming.take_over()
     coming.stop()
     await old.until(lambda: old.successors_lost == 1)
     assert old.descriptor_sharing == [True, False]
     again = coordinator(tmp_path)  # and the next one may take over
-    assert await again.find() and await again.take() is not None and old.handovers == 2
+    assert await again.find_predecessor() and await again.take_over() is not None and old.handovers == 2
     again.stop()
     serving.stop()
 
@@ -75,16 +75,16 @@
     old = RecordingParticipant()
     serving = coordinator(tmp_path, old)
     coming = coordinator(tmp_path)
-    serving.offer()
-    await coming.find()
-    await coming.take()
-    coming.offer()
+    serving.listen_for_successor()
+    await coming.find_predecessor()
+    await coming.take_over()
+    coming.listen_for_successor()
     coming.stop()
     await old.until(lambda: old.successors_lost == 1)
     async with asyncio.timeout(5):
-        while (again := coordinator(tmp_path)) and not await again.find():
+        while (again := coordinator(tmp_path)) and not await again.find_predecessor():
             await asyncio.sleep(0.01)
-    assert await again.take() is not None and old.handovers == 2
+    assert await again.take_over() is not None and old.handovers == 2
     again.stop()
     serving.stop()
 
@@ -116,7 +116,7 @@
 
     server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
     coming = coordinator(tmp_path, new)
-    assert await coming.find()
+    assert await coming.find_predecessor()
     (read,) = restored
     assert read.endpoints and read.endpoints.packed == decode_endpoint_list(listing).packed
     assert read.overrides == OverridesSnapshot(1, 1, (), {}, ()) and not read.is_draining
@@ -135,18 +135,18 @@
         writer.close()
 
     server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
-    assert not await coordinator(tmp_path).find()
+    assert not await coordinator(tmp_path).find_predecessor()
     server.close()
 
 
 async def test_a_missing_or_stale_name_does_not_stop_a_start(tmp_path: Path) -> None:
-    assert not await coordinator(tmp_path).find()
+    assert not await coordinator(tmp_path).find_predecessor()
     with socket.socket(socket.AF_UNIX) as left:
         left.bind(str(tmp_path / SOCKET_NAME))
     coming = coordinator(tmp_path)
-    assert not await coming.find() and await coming.take() is None
-    coming.offer()
-    assert await coordinator(tmp_path).find()
+    assert not await coming.find_predecessor() and await coming.take_over() is None
+    coming.listen_for_successor()
+    assert await coordinator(tmp_path).find_predecessor()
     (tmp_path / "file").write_text("")
-    coordinator(tmp_path / "file").offer()  # cannot: the log says so
+    coordinator(tmp_path / "file").listen_for_successor()  # cannot: the log says so
     coming.stop()
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -60,7 +60,7 @@
         faults.clear()
         coming = UpgradeCoordinator(RecordingParticipant(), str(folder))
         async with asyncio.timeout(10):
-            while not await coming.find():
+            while not await coming.find_predecessor():
                 await asyncio.sleep(0.05)
         coming.stop()
         await stop_orderly(serving, timeout_seconds=30)
