--- a/quota_ingress/policy/__init__.py
+++ b/quota_ingress/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the gateway: no I/O, no clock and no process-wide state."""
+"""All decisions of the gateway, free of I/O, clock reads and process-wide state."""
--- a/quota_ingress/policy/actions.py
+++ b/quota_ingress/policy/actions.py
@@ -1,4 +1,4 @@
-"""What a gateway decides, for its caller to carry out in the order given."""
+"""The actions that a gateway decides on; the caller carries them out in the order given."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Forward a request to an endpoint."""
+    """Forwards a request to an endpoint."""
 
     request: int
     endpoint: int
-    timeout: int  # us; 0: until the client leaves
+    timeout: int  # us; 0: until the client disconnects
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """A final rejection, with the promise that a new request does no harm."""
+    """Answers a request with a final rejection, which asserts that repeating the request does no harm."""
 
     request: int
-    retry_after: int = 0  # us; 0: no advice
+    retry_after: int = 0  # us; 0: no Retry-After
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """A final failure that promises nothing about effects."""
+    """Answers a request with a final failure, which leaves open whether the request took effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop an attempt that is in flight."""
+    """Cancels an attempt in flight."""
 
     request: int
-    attempt: int  # from 0, in the order of SendAttempt
+    attempt: int  # index from 0, in the order of SendAttempt
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired event."""
+    """Schedules a TimerFired event."""
 
     token: int
     at: int  # us
@@ -47,30 +47,30 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Call the shared counter."""
+    """Adds to a total of the shared counter."""
 
     name: int
-    amount: float  # units; below 0: taken off
-    ttl: int  # us after which the name is forgotten
+    amount: float  # units; below 0: subtracted
+    ttl: int  # us after which the counter discards the name
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check an endpoint's health."""
+    """Checks an endpoint's health."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to an endpoint."""
+    """Closes the idle connections to an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a message to another gateway."""
+    """Sends a message to one or all other gateways."""
 
     peer: int | None  # None: to all
     data: bytes
@@ -78,19 +78,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeToEndpoints:
-    """Start or stop the watch on the endpoint list."""
+    """Starts or stops the watch on the endpoint list."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpointList:
-    """Poll discovery for the whole list."""
+    """Polls discovery for the full endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write a line to the log."""
+    """Writes a line to the log."""
 
     text: str
 
--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -1,15 +1,15 @@
 """Admission control: whether a request is within its customer's quota.
 
-The questions are asked in this order:
+The checks run in this order:
 
-1. The plan's cap on attempts in flight.
+1. The plan's limit on attempts in flight.
 2. The customer's quota: units leased from the shared counter, or a new lease (`leased_quota`,
    `counted_quota`).
-3. Where the counter cannot be asked, this gateway's part of the quota (`local_allowance`).
-4. For what is over the quota, the borrowing ring: a rejection with or without Retry-After.
+3. If the counter cannot be called, this gateway's share of the quota (`local_allowance`).
+4. For requests over the quota, the borrowing ring: a rejection with or without Retry-After.
 
-After "Re-synchronization and Controllability of Bursty Service Requests" (Abacus Filters); the leases are not
-in the paper, whose filter is the only one before its service.
+The design follows "Re-synchronization and Controllability of Bursty Service Requests" (Abacus Filters). The
+leases are an addition: the paper has a single filter in front of its service.
 """
 
 from __future__ import annotations
@@ -31,24 +31,27 @@
 from quota_ingress.policy.settings import Plan, Settings
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-OPTIONAL_WORK_MAX_USAGE = 0.6  # of the fleet's capacity in use, above which only what has to be sent is sent
+OPTIONAL_WORK_MAX_USAGE = 0.6  # fraction of the fleet's capacity in use, above which no optional work is sent
 
 
 class RequestLifecycle(Protocol):
-    """What admission needs of the part that forwards and answers requests."""
+    """The interface through which admission control forwards and answers requests."""
 
     now: int  # us
-    actions: list[Action]  # decided so far in answer to the present event
+    actions: list[Action]  # collected so far for the current event
 
     def send(self, request: Request) -> bool:
-        """Sends the request's next attempt; returns whether one was sent. Otherwise it may be answered."""
+        """Sends the request's next attempt; returns whether one was sent.
+
+        A request whose first attempt cannot be sent has been rejected.
+        """
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answers the request with a rejection; `retry_after` in us, 0 for no advice."""
+        """Answers the request with a rejection; `retry_after` in us, 0 for no Retry-After."""
 
 
 class AdmissionController:
-    """Holds the quotas of all customers, and decides who is admitted."""
+    """Holds the quotas of all customers and decides which requests are admitted."""
 
     def __init__(
         self,
@@ -57,13 +60,13 @@
         fleet_usage: Callable[[], float],
         requests: RequestLifecycle,
     ) -> None:
-        """Makes a controller without customers.
+        """Creates a controller without customers.
 
         Args:
             settings: The gateway's settings.
             rng: The gateway's source of random numbers.
-            fleet_usage: Returns the fraction in use of the capacity of all endpoints.
-            requests: Forwards and answers the requests that are decided on.
+            fleet_usage: Returns the fraction of the fleet's capacity that is in use.
+            requests: Forwards and answers requests once admission has decided on them.
         """
         self._settings = settings
         self._rng = rng
@@ -74,11 +77,11 @@
         self.pending_calls: dict[int, deque[CounterCall]] = {}  # by counter name, the oldest first
         self.call_pacing = CallPacing(settings.counter, settings.fleet_size)
         limits = settings.limits
-        longest_followed = limits.max_retry_after if limits.sends_retry_after else 0
-        self.retry_after = longest_followed or SECOND  # us; T0 and d_0 of the paper
+        longest_retry_after = limits.max_retry_after if limits.sends_retry_after else 0
+        self.retry_after = longest_retry_after or SECOND  # us; T0 and d_0 of the paper
 
     def quota_for(self, event: RequestArrived) -> CustomerQuota:
-        """Returns the quota of the request's customer, a new one for a customer not seen lately."""
+        """Returns the quota of the request's customer; creates one for a customer without recent requests."""
         quota = self.customers.get(event.customer)
         if quota is None:
             gateway_count = min(self._settings.fleet_size, max(1, event.gateway_count))
@@ -99,18 +102,18 @@
         )
 
     def on_arrival(self, request: Request) -> None:
-        """Counts a new request as demand of its customer, and decides on it."""
+        """Counts a new request towards its customer's demand and decides on it."""
         event = request.event
         request.quota.record_arrival(self._requests.now, event.units, event.is_retry)
         self._admit(request)
 
     def on_timer(self, request: Request) -> None:
-        """Decides on a request that was deferred until the counter may be called."""
+        """Decides again on a request that was deferred until the counter may be called."""
         if request not in request.quota.waiting:
             self._admit(request)
 
     def _admit(self, request: Request, answered: bool = False) -> None:
-        """Decides on a request; `answered`: the counter's answer to its lease has just come."""
+        """Decides on a request; `answered`: the counter has just answered the lease it waited for."""
         quota = request.quota
         now = self._requests.now
         if quota.plan.max_in_flight and quota.in_flight >= quota.plan.max_in_flight:
@@ -134,7 +137,7 @@
                 self._call(quota.request_lease(now, self.call_pacing.congestion))
 
     def _admit_without_counter(self, request: Request) -> None:
-        """Decides by the local allowance; by a draw where that is less than the request."""
+        """Decides by the local allowance; at random if the allowance covers only part of the request."""
         quota = request.quota
         units = request.event.units
         now = self._requests.now
@@ -142,16 +145,16 @@
         if self._rng.random() >= fraction:
             quota.local_allowance.units -= (
                 units * fraction
-            )  # a second draw for it would make the chance larger
+            )  # spent by the draw: drawing again for the same units would raise the odds of admission
             self._reject_or_defer(request)
         elif self._requests.send(request):
             quota.spend_without_counter(now, units)
 
     def _reject_or_defer(self, request: Request) -> None:
-        """Rejects a request over its quota; Retry-After names the wait where the ring has capacity.
+        """Rejects a request over its quota, with Retry-After if the borrowing ring has capacity.
 
-        Where the plan earns more than it costs beyond the quota, the request is sent instead while the fleet
-        has capacity to spare.
+        If the plan earns more than it costs beyond the quota, the request is sent instead while the fleet has
+        spare capacity.
         """
         plan = request.quota.plan
         if plan.over_quota_earnings > plan.over_quota_cost and self._fleet_usage() < OPTIONAL_WORK_MAX_USAGE:
@@ -166,7 +169,10 @@
         self.call_pacing.on_call(self._requests.now)
 
     def on_counter_answer(self, event: CounterAnswered) -> None:
-        """Ends the oldest call of that name, and decides on the requests that waited for it."""
+        """Completes the oldest pending call for that counter name and decides on the requests waiting for it.
+
+        An answer that belongs to no pending call is ignored.
+        """
         call = self._take_pending_call(event.name)
         if call is None:
             return
@@ -195,7 +201,7 @@
         return call
 
     def discard_idle_customers(self) -> None:
-        """Drops the customers whose state is of no use any more: their buckets must be full again."""
+        """Discards customers idle for so long that their buckets must be full again."""
         now = self._requests.now
         self.customers = {
             customer: quota
@@ -204,14 +210,14 @@
         }
 
     def hand_over(self) -> tuple[CustomerQuotaSnapshot, ...]:
-        """Returns the state of all customers; leases and unreported units are no longer this gateway's."""
+        """Returns the state of all customers; the gateway gives up its leases and unreported units."""
         return tuple(
             quota.hand_over(customer, self._settings.plans.index(quota.plan))
             for customer, quota in self.customers.items()
         )
 
     def restore(self, snapshots: tuple[CustomerQuotaSnapshot, ...]) -> None:
-        """Takes over customers from another process, but for those known here or unfit for the settings."""
+        """Adopts customers from another process; skips those already known or unfit for the settings."""
         plans = self._settings.plans
         for snapshot in snapshots:
             has_plan = 0 <= snapshot.plan < len(plans)
--- a/quota_ingress/policy/concurrency_limit.py
+++ b/quota_ingress/policy/concurrency_limit.py
@@ -1,8 +1,8 @@
 """Adaptive concurrency: how many attempts may be in flight at an endpoint, and at the fleet as a whole.
 
 Limits rise while they are used and latency stays well within the objective, and fall otherwise (additive
-increase, bounded decrease). That covers overloaded, slow and thrashing endpoints; it starves an endpoint
-whose own work takes longer than the target.
+increase, bounded decrease). This handles overloaded, slow and thrashing endpoints. Its drawback: an endpoint
+whose service time alone exceeds the target gets few requests even when idle.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from quota_ingress.policy.events import Outcome
 from quota_ingress.policy.outlier import SlowdownTracker
 
-INITIAL_FLEET_LIMIT = 16.0  # attempts in flight at an endpoint, of all gateways together
-TARGET_LATENCY_FRACTION = 0.32  # of the latency objective: an endpoint that takes longer is at its capacity
-MAX_DECREASE = 1.0  # attempts, for one answer
-INCREASE = 0.5  # attempts, for an answer without latency
+INITIAL_FLEET_LIMIT = 16.0  # attempts in flight at an endpoint, from all gateways together
+TARGET_LATENCY_FRACTION = 0.32  # of the latency objective; an endpoint that takes longer is at capacity
+MAX_DECREASE = 1.0  # attempts per answer
+INCREASE = 0.5  # attempts per answer, for a latency of 0
 
 
 def limit_step(outcome: Outcome, latency: int, latency_objective: int) -> float:
-    """Returns by how many attempts an outcome would move the limits; the times in microseconds."""
+    """Returns the change of the limits, in attempts, for one outcome; times in microseconds."""
     if outcome in (Outcome.TIMEOUT, Outcome.REJECTED):
         return -MAX_DECREASE
     return INCREASE * max(
@@ -29,21 +29,24 @@
 
 
 class ConcurrencyLimits:
-    """The limits of one gateway; the endpoints carry their own."""
+    """One gateway's limit for the whole fleet; the limit of a single endpoint is kept in its `Endpoint`."""
 
     def __init__(self, initial_limit: float, slowdowns: SlowdownTracker) -> None:
-        """`initial_limit` is this gateway's part of INITIAL_FLEET_LIMIT."""
+        """Starts from `initial_limit`, this gateway's share of INITIAL_FLEET_LIMIT, in attempts."""
         self.initial_limit = initial_limit
         self.minimum = min(1.0, initial_limit / 4)  # of an endpoint's limit
-        self.fleet_headroom = 0.0  # attempts that the fleet has been found to take beyond the initial ones
+        self.fleet_headroom = 0.0  # attempts that the fleet has proved able to take above the initial limit
         self._slowdowns = slowdowns
 
     def pooled_limit(self, ready: Sequence[Endpoint], ready_total: int) -> float:
-        """Returns how many attempts this gateway may have in flight at all `ready_total` ready endpoints.
+        """Returns how many attempts this gateway may have in flight at all endpoints together.
 
-        `ready` are those of them that are candidates of this gateway. A gateway of many may have less than
-        one attempt at each endpoint in flight, as one at each of all gateways would jam the fleet; the fewer
-        where every class fails.
+        A gateway of a large fleet gets less than one attempt for each endpoint, since one from every gateway
+        would overload the endpoints, and fewer still while requests of all classes fail.
+
+        Args:
+            ready: The ready endpoints among this gateway's candidates.
+            ready_total: The number of all ready endpoints.
         """
         if self.initial_limit >= 1:
             return sum(endpoint.concurrency_limit for endpoint in ready) * ready_total / max(1, len(ready))
@@ -51,9 +54,9 @@
         return initial / self._slowdowns.lowest_mean_slowdown + self.fleet_headroom
 
     def adjust(self, endpoint: Endpoint, step: float) -> None:
-        """Moves an endpoint's limit by `step` attempts."""
+        """Changes an endpoint's limit by `step` attempts."""
         endpoint.concurrency_limit = max(self.minimum, endpoint.concurrency_limit + step)
 
     def adjust_headroom(self, step: float) -> None:
-        """Moves the headroom of the fleet by `step` attempts."""
+        """Changes the headroom of the fleet by `step` attempts."""
         self.fleet_headroom = max(0.0, self.fleet_headroom + step)
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -1,7 +1,7 @@
 """The quota of a customer whose requests come through many gateways.
 
-Each gateway sees few of the requests and knows next to nothing of the shared bucket but from the counter, so
-the decaying count of the use by all gateways decides.
+Each gateway sees few of the requests and knows the state of the shared bucket almost only from the counter.
+Decisions therefore use the decaying count of the units used by all gateways.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
 
-WIDE_CUSTOMER_GATEWAYS = 12  # a customer of more gateways than this has a counted quota
+WIDE_CUSTOMER_GATEWAYS = 12  # a customer with more gateways than this has a counted quota
 MIN_RETENTION = 60 * SECOND  # us
-MAX_LEASE_FRACTION = 0.25  # of the available units: the most that one gateway takes ahead
-MAX_DEFER_FRACTION = 0.1  # of the latency objective that a request may wait for its call to the counter
-LIKELY_SUCCESS_RATE = 0.5  # of leases, above which a request waits for its call
+MAX_LEASE_FRACTION = 0.25  # of the available units: the most that one gateway leases in advance
+MAX_DEFER_FRACTION = 0.1  # of the latency objective: the longest wait for a call to the counter
+LIKELY_SUCCESS_RATE = 0.5  # of leases; above it, a request is deferred until the counter may be called
 SUCCESS_SMOOTHING = 0.6  # weight of the last lease in the success rate
-LOST_COUNT_TOLERANCE = 0.99  # a total below this part of what a call has just added is not that count
+LOST_COUNT_TOLERANCE = 0.99  # a total below this fraction of what the call just added means a lost count
 
 
 class CountedQuota(QuotaState):
-    """Leases from the decaying count."""
+    """Leases units from the decaying count, as long as the count of all gateways is under its limit."""
 
     __slots__ = (
         "_plan_leases",
@@ -68,10 +68,10 @@
         self._plan_leases = statistics.by_plan[plan]
         self.count = DecayingCount(plan.burst, self.window)
         self.last_answer_at = NEVER
-        self.lease_success_rate: float | None = None  # of leases: those that brought units
+        self.lease_success_rate: float | None = None  # fraction of leases that were granted units
 
     def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
-        """Decides on a request by the leased units and the decaying count."""
+        """Decides how to proceed with a request, by the leased units and the decaying count."""
         if not self._uses_count:
             return super().assess(request, now, pacing, answered)
         units = request.event.units
@@ -80,14 +80,14 @@
         if self.count.leased_units >= units and not self.waiting:
             return Decision.ADMIT
         if answered or (available < units and not self.lease_requested):
-            return Decision.OVER_QUOTA  # the other gateways can but have used more
+            return Decision.OVER_QUOTA  # other gateways can only have used more since the last answer
         if self.lease_requested:
             return Decision.AWAIT_LEASE
         success_rate = self._expected_success_rate()
-        if pacing.unused_fraction(now) >= 1 - success_rate:  # unlikely leases get the last of the calls
+        if pacing.unused_fraction(now) >= 1 - success_rate:  # unlikely leases leave calls for likely ones
             return Decision.REQUEST_LEASE
-        if self._is_hardly_used(now, units, available):
-            return Decision.ADMIT  # the next call reports it
+        if self._is_lightly_used(now, units, available):
+            return Decision.ADMIT  # the next call reports the units
         may_wait_until = request.arrived_at + MAX_DEFER_FRACTION * request.request_class.latency_objective
         if success_rate > LIKELY_SUCCESS_RATE and now < may_wait_until:
             return Decision.DEFER
@@ -98,34 +98,37 @@
             return self._plan_leases.success_rate
         return self.lease_success_rate
 
-    def _is_hardly_used(self, now: int, units: float, available: float) -> bool:
-        """Returns whether a recent count was under half of the limit."""
+    def _is_lightly_used(self, now: int, units: float, available: float) -> bool:
+        """Returns whether the last count is recent and, with this request, under half of its limit."""
         is_recent = now - self.last_answer_at < self.window
         return is_recent and available - units > self.count.limit(units) / 2
 
     def spend(self, units: float) -> None:
-        """Takes the units of an admitted request off the lease."""
+        """Deducts the units of an admitted request from the lease."""
         if self._uses_count:
             self.count.leased_units -= units
         else:
             super().spend(units)
 
     def admitted_fraction_without_counter(self, now: int, units: float, is_retry: bool) -> float:
-        """Returns the chance of admission; that of an unknown customer also goes by its plan's customers."""
+        """Returns the probability of admitting a request of `units` while the counter cannot be called.
+
+        For a customer without leases yet, it is scaled by the success rate of other customers of its plan.
+        """
         fraction = super().admitted_fraction_without_counter(now, units, is_retry)
         if self.lease_success_rate is None:
             fraction *= self._plan_leases.success_rate
         return fraction
 
     def spend_without_counter(self, now: int, units: float) -> None:
-        """Takes the units off the local allowance; the next call reports them."""
+        """Deducts the units from the local allowance; the next call reports them to the counter."""
         super().spend_without_counter(now, units)
         self._statistics.record_unanswered_request()
         self.count.decay_to(now)
         self.count.leased_units -= units
 
     def request_lease(self, now: int, congestion: float) -> CounterCall:
-        """Returns the call for the first waiting request, and whole requests of recent demand."""
+        """Returns the call for the first waiting request and whole requests of expected demand."""
         request = self.waiting[0].event
         units = request.units
         available = self.count.available(units) - units
@@ -137,7 +140,7 @@
         return self._call(name, self.count.epoch_start(now), now, units + extra, unreported, is_lease=True)
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Takes back what a call was to report, if the counter added nothing."""
+        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
         self.count.decay_to(now)
         if not was_added:
             self.count.leased_units -= call.unreported_units
@@ -145,16 +148,16 @@
     def on_lease_answer(
         self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
     ) -> list[CounterCall]:
-        """Takes the leased units that the count leaves; what is past its limit is added back.
+        """Grants the leased units that fit under the count's limit; a correction returns the excess.
 
-        Use without the counter is missing in the count. In that measure, leases past the limit are left in
-        it: this saves calls where the counter has no capacity for all of them, and it is of the same
-        customers, those at their limit. More than that would starve a customer that asks several times its
-        quota.
+        Units spent without the counter are missing from the count. To the extent that this happens, excess
+        leases are left in the count: that saves calls when the counter has no capacity for all of them, and
+        it affects the same customers, those at their limit. Leaving more would starve a customer that
+        requests several times its quota.
         """
         self._statistics.record_answer()
         corrections: list[CounterCall] = []
-        decay = math.exp(-event.latency / self.window)  # of the units since they were added with the call
+        decay = math.exp(-event.latency / self.window)  # of the units added by the call, since it was made
         total = event.total / self.count.weight(now, call.window_start)
         leased = call.leased_units * decay
         added = (call.leased_units + call.unreported_units) * decay
@@ -172,13 +175,13 @@
         return corrections
 
     def _was_lost(self, total: float, added: float) -> bool:
-        """Returns whether the counter lacks what is known here: a new name, or a restarted counter."""
+        """Returns whether the counter lacks units known here: its name is new, or the counter restarted."""
         if total < LOST_COUNT_TOLERANCE * added:
             return True
         return self.count.usage + added - total > self.plan.burst / 2
 
     def _excess(self, leased: float, total: float, decay: float) -> float:
-        """Returns the units of a lease that are past the limit; all if the rest would cover no request."""
+        """Returns the leased units over the count's limit; all of them if the rest covers no request."""
         units = self.waiting[0].event.units if self.waiting else 0.0
         excess = min(leased, max(0.0, total - self.count.limit(units)))
         if self.count.leased_units + leased - excess < units * decay:
@@ -186,7 +189,7 @@
         return excess
 
     def _record_lease(self, granted: float, has_units: bool) -> None:
-        """Learns from a lease of `granted` units."""
+        """Updates refill rate, local allowance and success rates after a lease of `granted` units."""
         self.refill_rate = min(self.plan.rate, granted / LEASE_DURATION_S)
         if has_units:
             self.local_allowance.spend(granted)
@@ -221,7 +224,7 @@
         )
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
         success_rate = self.lease_success_rate
         snapshot = replace(
             super().hand_over(customer, plan),
@@ -235,7 +238,7 @@
         return snapshot
 
     def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
-        """Takes over the state that another process handed over."""
+        """Adopts the state that another process handed over."""
         super().restore(snapshot)
         self.count.usage = snapshot.counted_usage
         self.count.leased_units = snapshot.counted_lease
--- a/quota_ingress/policy/customer_quota.py
+++ b/quota_ingress/policy/customer_quota.py
@@ -1,7 +1,7 @@
-"""A customer's quota at this gateway, as admission control sees it.
+"""The interface between admission control and a customer's quota at this gateway.
 
-A customer whose requests come through few gateways has a `LeasedQuota`, one of many gateways a
-`CountedQuota`. The kind is chosen once, when the customer is first seen.
+A customer whose requests come through few gateways has a `LeasedQuota`; a customer whose requests come
+through many has a `CountedQuota`. The kind is chosen once, when the customer is first seen.
 """
 
 from __future__ import annotations
@@ -24,77 +24,81 @@
 
 
 class Decision(Enum):
-    """What a quota decides on a request."""
+    """How to proceed with a request."""
 
-    ADMIT = auto()  # it is covered
+    ADMIT = auto()  # the quota covers the request
     OVER_QUOTA = auto()
-    AWAIT_LEASE = auto()  # a lease has been requested; its answer decides
-    REQUEST_LEASE = auto()  # the counter has to be called
-    DEFER = auto()  # ask again once the counter may be called
-    WITHOUT_COUNTER = auto()  # the counter cannot be asked; the local allowance decides
+    AWAIT_LEASE = auto()  # wait for the answer to a lease that has been requested already
+    REQUEST_LEASE = auto()  # call the counter for a lease and wait for its answer
+    DEFER = auto()  # assess the request again once the counter may be called
+    WITHOUT_COUNTER = auto()  # the counter cannot be called; the local allowance decides
 
 
 class CustomerQuota(Protocol):
-    """A customer's plan, what is left of it as far as is known here, and the requests that wait for more."""
+    """A customer's plan, this gateway's knowledge of the quota left, and the requests waiting for a lease."""
 
     plan: Plan
     bucket: TokenBucket
-    local_allowance: LocalAllowance  # this gateway's part of the quota, spent only without the counter
-    ceiling: LocalAllowance  # this gateway's part of the plan's hard ceiling
+    local_allowance: LocalAllowance  # this gateway's share of the quota, spent only without the counter
+    ceiling: LocalAllowance  # this gateway's share of the plan's hard ceiling
     demand: DemandRate
     in_flight: int  # attempts
-    waiting: list[Request]  # for the counter's answer
+    waiting: list[Request]  # for the answer to the requested lease
     lease_requested: bool
-    retention: int  # us after the last request during which the state is of use
+    retention: int  # us after the last request for which the state is kept
 
     def record_arrival(self, now: int, units: float, is_retry: bool) -> None:
-        """Counts a request as demand, and refills the local parts."""
+        """Counts a request towards the demand; refills the local allowance and the ceiling."""
 
     def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
-        """Decides on a request.
+        """Decides how to proceed with a request.
 
         Args:
             request: The request.
-            now: The moment, in us.
-            pacing: Whether and when the counter may be called.
-            answered: The counter has just answered: what is not covered now is over the quota.
+            now: The current time, in us.
+            pacing: Tells whether and when the counter may be called.
+            answered: The counter has just answered, so a request not covered now is over the quota.
         """
 
     def spend(self, units: float) -> None:
-        """Takes the units of an admitted request off the lease."""
+        """Deducts the units of an admitted request from the lease."""
 
     def admitted_fraction_without_counter(self, now: int, units: float, is_retry: bool) -> float:
-        """Returns the chance that a request of `units` is admitted while the counter cannot be asked."""
+        """Returns the probability of admitting a request of `units` while the counter cannot be called."""
 
     def spend_without_counter(self, now: int, units: float) -> None:
-        """Takes the units of a request that was admitted without the counter off the local allowance."""
+        """Deducts the units of a request admitted without the counter from the local allowance."""
 
     def settle(self, settled_units: float, estimated_units: float) -> None:
-        """Corrects the units of an answered request, which are known only with its response."""
+        """Replaces a request's estimated units by the true ones, which are known only with its response."""
 
     def book_retry(self, now: int, units: float) -> int:
-        """Returns the wait before a rejected request's retry in us; 0: there is no capacity in sight."""
+        """Returns the wait before a rejected request's retry in us; 0: no capacity in the borrowing ring."""
 
     def request_lease(self, now: int, congestion: float) -> CounterCall:
-        """Returns the call for a lease that covers the first waiting request and some demand ahead.
+        """Returns the call for a lease that covers the first waiting request and some expected demand.
 
-        Units spent without the counter are reported with it. `congestion` is that of the calls to the
-        counter: the rarer they are, the more a call may take.
+        The call also reports units spent without the counter. `congestion` is that of the call pacing: the
+        rarer the calls, the larger the lease.
         """
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Takes back what a call was to report, if the counter added nothing."""
+        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
 
     def on_lease_answer(
         self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
     ) -> list[CounterCall]:
-        """Takes the leased units as far as the counter's total allows; returns the corrections to call."""
+        """Grants as many of the leased units as the counter's total allows.
+
+        Returns:
+            The calls that correct the counter: for leased units not granted, and for units it does not know.
+        """
 
     def take_waiting(self) -> list[Request]:
-        """Returns the requests that waited for a lease, which is no longer requested."""
+        """Returns the requests that waited for a lease, and marks no lease as requested."""
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
 
     def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
-        """Takes over the state that another process handed over."""
+        """Adopts the state that another process handed over."""
--- a/quota_ingress/policy/durations.py
+++ b/quota_ingress/policy/durations.py
@@ -1,4 +1,4 @@
-"""Units of time: all moments and spans of the policy are whole microseconds."""
+"""Units of time: all timestamps and durations of the policy are whole microseconds."""
 
 from __future__ import annotations
 
--- a/quota_ingress/policy/endpoint_list.py
+++ b/quota_ingress/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery tells it: entries, their states, and the event that brings them."""
+"""The endpoint list from discovery: its entries, their states, and the event that delivers them."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes requests."""
+    """Whether an endpoint accepts requests."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has, takes nothing new
+    DRAINING = "draining"  # finishes its requests, accepts no new ones
     REMOVED = "removed"
 
 
 class ListKind(Enum):
-    """How much of the list an event tells."""
+    """Which part of the list an event contains."""
 
-    DELTA = "delta"  # only what changed
+    DELTA = "delta"  # only the changed entries
     FULL = "full"
-    CACHED = "cached"  # whole, as last held, perhaps out of date
-    FAILED = "failed"  # the poll failed; no entries
+    CACHED = "cached"  # all entries, from a cache that may be out of date
+    FAILED = "failed"  # no entries: the poll failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,15 +33,15 @@
     cell: int
     kind: int
     weight: float
-    started_at: int  # us; 0: long ago
-    hash_key: int = 0  # the same at every gateway; 0: the id serves
+    started_at: int  # us; 0: started long ago, warmed up
+    hash_key: int = 0  # for subsetting, equal at every gateway; 0: the id is used
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """Discovery has told the list, or a change of it."""
+    """Discovery has delivered the endpoint list or a change to it."""
 
     kind: ListKind
     version: int
     endpoints: tuple[ListedEndpoint, ...]
-    ready_total: int = 0  # ready endpoints in all, where only a part of the list is told; 0: all are told
+    ready_total: int = 0  # number of all ready endpoints where only part of the list is sent; 0: all of it is
--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoint list as it was told, and the endpoints of it that this gateway deals with."""
+"""The endpoint list as received, and the endpoints of it that this gateway may use."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CandidateSet:
-    """Endpoints to choose among; adding and removing one costs the same whatever their number."""
+    """Endpoints to choose among; adding and removing one take constant time."""
 
     def __init__(self) -> None:
         self.members: list[Endpoint] = []
@@ -25,13 +25,13 @@
         return len(self.members)
 
     def add(self, endpoint: Endpoint) -> None:
-        """Adds an endpoint, unless it is a member."""
+        """Adds an endpoint if it is not a member yet."""
         if endpoint.entry.id not in self.positions:
             self.positions[endpoint.entry.id] = len(self.members)
             self.members.append(endpoint)
 
     def discard(self, endpoint: Endpoint) -> None:
-        """Removes an endpoint, if it is a member: the last one takes its position."""
+        """Removes an endpoint if it is a member; the last member moves to its position."""
         position = self.positions.pop(endpoint.entry.id, None)
         if position is None:
             return
@@ -42,7 +42,7 @@
 
 
 class EndpointSet:
-    """The list as told, and of the endpoints in this gateway's subset what has been learned of each."""
+    """The endpoint list as received, and the statistics of the endpoints in this gateway's subset."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         initial_limit = INITIAL_FLEET_LIMIT / settings.fleet_size
@@ -50,51 +50,58 @@
         self.slow_start = SlowStart(settings.safety, self.slowdowns)
         self.limits = ConcurrencyLimits(initial_limit, self.slowdowns)
         self.listed_endpoints: dict[int, ListedEndpoint] = {}
-        self.listed_ready = 0  # how many of these are ready
-        self.ready_total = 0  # ready endpoints in all, also where only a part of the list is told
+        self.listed_ready = 0  # endpoint_id of ready endpoints in `listed_endpoints`
+        self.ready_total = 0  # endpoint_id of all ready endpoints, even if only some of the list was received
         self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
         self.candidates: dict[int, Endpoint] = {}  # the candidate subset, draining endpoints included
-        self.ready = CandidateSet()  # the ready ones of it
-        self.preferred = CandidateSet()  # the ready ones of the preferred subset
+        self.ready = CandidateSet()  # the ready candidates
+        self.preferred = CandidateSet()  # the ready candidates of the preferred subset
         self.in_flight = 0  # attempts of this gateway
         self._gateway_index = settings.gateway_index
         self._fleet_size = settings.fleet_size
         self._rng = rng
 
     def utilization(self) -> float:
-        """Returns the part of the pooled concurrency limit that is in flight; 1 and more: a jam."""
+        """Returns the attempts in flight as a fraction of the pooled limit; from 1 on, none are sent."""
         pooled = self.limits.pooled_limit(self.ready.members, self.ready_total)
         return self.in_flight / max(1.0, pooled)
 
     def on_endpoints_listed(self, event: EndpointsListed) -> None:
-        """Takes in the list or a change of it.
+        """Applies a full list or a delta.
 
-        A change costs as much as it changes; a whole list and a new subset cost a pass over all.
+        A delta costs time in proportion to its entries; a full list or a new subset costs a pass over all
+        endpoints.
         """
-        is_whole = event.kind in (ListKind.FULL, ListKind.CACHED)
-        named = dict.fromkeys(entry.id for entry in event.endpoints)
-        removed = [number for number in self.listed_endpoints if number not in named] if is_whole else []
-        for number in removed:
-            self._register(number, None)
+        is_complete = event.kind in (ListKind.FULL, ListKind.CACHED)
+        listed_ids = dict.fromkeys(entry.id for entry in event.endpoints)
+        removed = (
+            [endpoint_id for endpoint_id in self.listed_endpoints if endpoint_id not in listed_ids]
+            if is_complete
+            else []
+        )
+        for endpoint_id in removed:
+            self._register(endpoint_id, None)
         for entry in event.endpoints:
             self._register(entry.id, entry)
         self.ready_total = event.ready_total or self.listed_ready
         previous = self.subset
         self.subset = assign_subset(self._gateway_index, self._fleet_size, self.ready_total, previous)
-        for number in removed:
-            self._reconcile(number)
-        for number in named if self.subset == previous else named | dict.fromkeys(self.listed_endpoints):
-            self._reconcile(number)
+        for endpoint_id in removed:
+            self._reconcile(endpoint_id)
+        for endpoint_id in (
+            listed_ids if self.subset == previous else listed_ids | dict.fromkeys(self.listed_endpoints)
+        ):
+            self._reconcile(endpoint_id)
 
     def hand_over(self) -> tuple[EndpointSnapshot, ...]:
-        """Returns what has been learned of each endpoint."""
+        """Returns the concurrency limit and the slowdowns of each candidate."""
         return tuple(
-            EndpointSnapshot(number, endpoint.concurrency_limit, tuple(endpoint.slowdown_by_class))
-            for number, endpoint in self.candidates.items()
+            EndpointSnapshot(endpoint_id, endpoint.concurrency_limit, tuple(endpoint.slowdown_by_class))
+            for endpoint_id, endpoint in self.candidates.items()
         )
 
     def restore(self, snapshots: tuple[EndpointSnapshot, ...]) -> None:
-        """Takes over what another process has learned of the endpoints that are candidates here."""
+        """Adopts limits and slowdowns that another process handed over for endpoints that are candidates."""
         class_count = len(self.slowdowns.mean_slowdowns)
         for snapshot in snapshots:
             endpoint = self.candidates.get(snapshot.id)
@@ -102,27 +109,27 @@
                 endpoint.concurrency_limit = max(self.limits.minimum, snapshot.concurrency_limit)
                 endpoint.slowdown_by_class = list(snapshot.slowdown_by_class)
 
-    def _register(self, number: int, entry: ListedEndpoint | None) -> None:
-        """Puts an entry into the list, or takes it out."""
-        previous = self.listed_endpoints.get(number)
+    def _register(self, endpoint_id: int, entry: ListedEndpoint | None) -> None:
+        """Stores an endpoint's list entry; removes it if `entry` is None or in state REMOVED."""
+        previous = self.listed_endpoints.get(endpoint_id)
         if previous and previous.state is EndpointState.READY:
             self.listed_ready -= 1
         if entry and entry.state is not EndpointState.REMOVED:
-            self.listed_endpoints[number] = entry
+            self.listed_endpoints[endpoint_id] = entry
             self.listed_ready += entry.state is EndpointState.READY
         elif previous:
-            del self.listed_endpoints[number]
+            del self.listed_endpoints[endpoint_id]
 
-    def _reconcile(self, number: int) -> None:
-        """Brings the candidates into line with the list and the subset."""
-        entry = self.listed_endpoints.get(number)
-        hash_key = entry.hash_key or number if entry else 0
+    def _reconcile(self, endpoint_id: int) -> None:
+        """Updates an endpoint's membership of the candidate sets to the list and the subset."""
+        entry = self.listed_endpoints.get(endpoint_id)
+        hash_key = entry.hash_key or endpoint_id if entry else 0
         if entry is None or not self.subset.is_candidate(hash_key):
-            self._remove_candidate(number)
+            self._remove_candidate(endpoint_id)
             return
-        endpoint = self.candidates.get(number)
+        endpoint = self.candidates.get(endpoint_id)
         if endpoint is None:
-            endpoint = self.candidates[number] = Endpoint(entry)
+            endpoint = self.candidates[endpoint_id] = Endpoint(entry)
         if endpoint.concurrency_limit == 0 or entry.started_at > endpoint.entry.started_at:
             self._reset(endpoint)
         endpoint.entry = entry
@@ -131,15 +138,15 @@
         (self.ready.add if is_ready else self.ready.discard)(endpoint)
         (self.preferred.add if is_preferred else self.preferred.discard)(endpoint)
 
-    def _remove_candidate(self, number: int) -> None:
-        endpoint = self.candidates.pop(number, None)
+    def _remove_candidate(self, endpoint_id: int) -> None:
+        endpoint = self.candidates.pop(endpoint_id, None)
         if endpoint:
             self.ready.discard(endpoint)
             self.preferred.discard(endpoint)
 
     def _reset(self, endpoint: Endpoint) -> None:
-        """Forgets what was learned before an endpoint's start."""
+        """Resets the statistics of a new or restarted endpoint."""
         endpoint.concurrency_limit = self.limits.initial_limit
         endpoint.slowdown_by_class = self.slowdowns.mean_slowdowns[:]
         endpoint.slow_start_credit = self._rng.random()
-        self.slow_start.deferred_requests = 0.0  # none of them was deferred for this one
+        self.slow_start.deferred_requests = 0.0  # requests deferred before its start earn it no credit
--- a/quota_ingress/policy/events.py
+++ b/quota_ingress/policy/events.py
@@ -1,4 +1,4 @@
-"""What happens to a gateway. Every event is handled with the present moment, in microseconds."""
+"""The events that a gateway handles. Each is passed with the current time in microseconds."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Outcome(Enum):
-    """What became of an attempt, a probe or a call to the counter."""
+    """The result of an attempt, a probe or a call to the counter."""
 
     OK = "ok"
     ERROR = "error"  # may have run
     REJECTED = "rejected"  # never ran: the endpoint is full or draining
-    TIMEOUT = "timeout"  # may have run, may still run
+    TIMEOUT = "timeout"  # may have run or still be running
     CONNECT_FAILED = "connect failed"  # never ran
     RESET = "reset"  # may have run
     CANCELLED = "cancelled"  # may have run
@@ -26,36 +26,36 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request."""
+    """A request has arrived from a client."""
 
-    request: int
+    request: int  # id
     request_class: int  # index into Settings.classes
     plan: int  # index into Settings.plans
     customer: int
     units: float
     time_left: int  # us until the client's deadline
-    first_gateway: int = 0  # first of the gateways that this customer's requests come through
-    gateway_count: int = 1  # how many these are
-    is_retry: bool = False  # the client's, after a rejection
+    first_gateway: int = 0  # index of the first gateway that this customer's requests come through
+    gateway_count: int = 1  # number of gateways that they come through
+    is_retry: bool = False  # the client repeats a rejected request
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over, with its outcome."""
+    """An attempt has ended."""
 
     request: int
-    attempt: int  # from 0, in the order of SendAttempt
+    attempt: int  # index from 0, in the order of SendAttempt
     endpoint: int
     outcome: Outcome
     latency: int  # us
-    request_ended: bool  # the client has its final answer
+    request_ended: bool  # the client has received its final answer
     load: tuple[float, ...] = ()  # load report, in the order of Settings.load_fields
-    settled_units: float = 0.0  # true units, where they are settled afterwards
+    settled_units: float = 0.0  # true units, if Settings.settles_after_response
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed response has begun: no other attempt can answer any more."""
+    """A streamed response has begun: no other attempt can answer the request any more."""
 
     request: int
     attempt: int
@@ -65,31 +65,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request has left."""
+    """The client of a request has disconnected."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by SetTimer is due."""
+    """A timer set by SetTimer has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    """A call to the counter is over."""
+    """A call to the counter has ended."""
 
     name: int
     outcome: Outcome
-    total: float  # units under that name, this call's included
+    total: float  # units under that name, including those of this call
     latency: int  # us
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """A health check is over."""
+    """A health check has ended."""
 
     endpoint: int
     outcome: Outcome
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another gateway."""
+    """A message from another gateway has arrived."""
 
     sender: int
     data: bytes
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -1,7 +1,7 @@
-"""The life of a request: from its arrival over its attempts to its final answer.
+"""The life cycle of a request: arrival, attempts and final answer.
 
-`Gateway.handle` takes one event and returns the actions that its caller has to carry out. It does no I/O and
-reads no clock; equal seeds and events lead to equal actions.
+`Gateway.handle` takes one event and returns the actions that the caller has to carry out. It does no I/O and
+reads no clock: equal seeds and equal sequences of events lead to equal actions.
 """
 
 from __future__ import annotations
@@ -40,30 +40,30 @@
 from quota_ingress.policy.settings import RequestClass, Settings
 from quota_ingress.policy.snapshot import PolicySnapshot
 
-SWEEP_INTERVAL = SECOND  # us between two looks for idle customers
-MIN_LATE_WEIGHT = 0.5  # of a late answer, for which a request is worth its work up to the deadline
+SWEEP_INTERVAL = SECOND  # us between two sweeps that discard idle customers
+MIN_LATE_WEIGHT = 0.5  # from this weight of a late answer on, requests are attempted up to their deadline
 
 
 class InvalidSettingsError(ValueError):
-    """Settings that no gateway can work with."""
+    """A value of the settings is missing or out of its range."""
 
 
 class Gateway:
-    """The decisions of one gateway, event by event."""
+    """Makes all decisions of one gateway in response to events."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Makes a gateway without endpoints.
+        """Creates a gateway that knows no endpoints yet; `seed` is that of its random numbers.
 
         Raises:
             InvalidSettingsError: A value of the settings is out of its range.
         """
-        _check(settings)
+        _validate(settings)
         rng = random.Random(seed)
         self.settings = settings
-        self.now = 0  # us; the moment of the event that is handled
-        self.actions: list[Action] = []  # decided so far in answer to it
-        self.requests: dict[int, Request] = {}  # without a final answer
-        self.attempts_in_flight: dict[tuple[int, int], Request] = {}  # by request and attempt number
+        self.now = 0  # us; the time of the current event
+        self.actions: list[Action] = []  # collected so far for the current event
+        self.requests: dict[int, Request] = {}  # by id; those without a final answer
+        self.attempts_in_flight: dict[tuple[int, int], Request] = {}  # by request id and attempt index
         self.endpoints = EndpointSet(settings, rng)
         self.load_balancer = LoadBalancer(settings, self.endpoints, rng)
         self.retry_policy = RetryPolicy(settings, self.endpoints.slowdowns)
@@ -71,7 +71,7 @@
         self._swept_at = 0  # us
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Takes one event at the moment `now` (us); returns what is to be done, in order."""
+        """Processes one event at time `now` (us); returns the actions to carry out, in order."""
         self.now = now
         self.actions = []
         match event:
@@ -95,10 +95,10 @@
         return self.actions
 
     def hand_over(self) -> PolicySnapshot:
-        """Returns what has been leased and learned, for the process that takes this one's place.
+        """Returns the leases and statistics for the process that replaces this one in an upgrade.
 
-        Leases and unreported units are no longer this gateway's: what it still has to finish asks the counter
-        anew.
+        The gateway gives up its leases and unreported units: for requests that it still has to finish, it
+        requests new leases from the counter.
         """
         return PolicySnapshot(
             baseline_latencies=tuple(self.endpoints.slowdowns.baseline_latencies),
@@ -110,7 +110,7 @@
         )
 
     def restore(self, snapshot: PolicySnapshot) -> None:
-        """Goes on where another process stopped; what does not fit these settings is left out."""
+        """Adopts the state that another process handed over; skips parts that do not fit the settings."""
         class_count = len(self.settings.classes)
         if len(snapshot.baseline_latencies) == len(snapshot.mean_slowdowns) == class_count:
             self.endpoints.slowdowns.restore(snapshot.baseline_latencies, snapshot.mean_slowdowns)
@@ -120,11 +120,10 @@
         self.admission.restore(snapshot.customers)
 
     def send(self, request: Request) -> bool:
-        """Sends the request's next attempt, if it may have one and an endpoint has capacity.
+        """Sends the request's next attempt if one is allowed and an endpoint has capacity.
 
         Returns:
-            Whether an attempt was sent. If it would have been the first one, the request has been rejected
-            otherwise.
+            Whether an attempt was sent. If not, and the request had no attempt before, it has been rejected.
         """
         endpoint = self._choose_endpoint(request)
         if endpoint is None:
@@ -135,17 +134,17 @@
         return True
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answers the request with a rejection; `retry_after` in us, 0 for no advice."""
+        """Answers the request with a rejection; `retry_after` in us, 0 for no Retry-After."""
         self._answer(request, Reject(request.event.request, retry_after))
 
     def _choose_endpoint(self, request: Request) -> Endpoint | None:
-        """Returns the endpoint for the request's next attempt; None where there may be none."""
+        """Returns the endpoint for the request's next attempt; None if no attempt is allowed or possible."""
         quota = request.quota
         if not self.retry_policy.has_attempt_left(request, self.now):
             return None
         is_limited = quota.plan.ceiling_rate and not request.attempts
         if is_limited and quota.ceiling.units < request.event.units:
-            return None  # the ceiling holds whatever the counter says
+            return None  # the hard ceiling applies even to units that the counter has granted
         return self.load_balancer.choose(
             self.now,
             request.event.request_class,
@@ -153,15 +152,15 @@
         )
 
     def _start_attempt(self, request: Request, endpoint: Endpoint) -> None:
-        number = request.event.request
+        request_id = request.event.request
         if not request.attempts:
             request.quota.ceiling.units -= request.event.units
         request.quota.in_flight += 1
         timing = self.retry_policy.timing(request, self.now)
         if timing.hedge_after is not None:
-            self.actions.append(SetTimer(number, self.now + timing.hedge_after))
-        self.actions.append(SendAttempt(number, endpoint.entry.id, max(1, timing.timeout)))
-        self.attempts_in_flight[number, len(request.attempts)] = request
+            self.actions.append(SetTimer(request_id, self.now + timing.hedge_after))
+        self.actions.append(SendAttempt(request_id, endpoint.entry.id, max(1, timing.timeout)))
+        self.attempts_in_flight[request_id, len(request.attempts)] = request
         request.attempts.append(Attempt(endpoint, self.now))
 
     def _on_request(self, event: RequestArrived) -> None:
@@ -209,14 +208,17 @@
             self._retry_or_answer(request)
 
     def _retry_or_answer(self, request: Request) -> None:
-        """Goes on with a request of which an attempt has failed."""
+        """Retries a request after a failed attempt, or answers it if no retry is possible.
+
+        A request with another attempt in flight waits for that one.
+        """
         if any(attempt.in_flight for attempt in request.attempts) or self.send(request):
             return
-        number = request.event.request
-        self._answer(request, Reject(number) if is_harmless_to_repeat(request) else Fail(number))
+        request_id = request.event.request
+        self._answer(request, Reject(request_id) if is_harmless_to_repeat(request) else Fail(request_id))
 
     def _on_timer(self, token: int) -> None:
-        """Asks the counter for a deferred request, or hedges one while the fleet has capacity to spare."""
+        """Decides on a deferred request again, or hedges a sent one while the fleet has spare capacity."""
         request = self.requests.get(token)
         if request is None:
             return
@@ -234,9 +236,9 @@
         self.actions.append(answer)
         self._finish(request.event.request)
 
-    def _finish(self, number: int, kept_attempt: int | None = None) -> None:
-        """Forgets a request that has its answer; its other attempts are cancelled where that is allowed."""
-        request = self.requests.pop(number, None)
+    def _finish(self, request_id: int, kept_attempt: int | None = None) -> None:
+        """Removes an answered request and cancels its other attempts where the settings allow it."""
+        request = self.requests.pop(request_id, None)
         if request is None:
             return
         if request.quota.waiting:
@@ -245,28 +247,34 @@
             return
         for index, attempt in enumerate(request.attempts):
             if attempt.in_flight and index != kept_attempt:
-                self.actions.append(CancelAttempt(number, index))
+                self.actions.append(CancelAttempt(request_id, index))
 
 
 def _useful_time(request_class: RequestClass) -> int:
-    """Returns the microseconds from a request's arrival in which an answer is worth its work."""
+    """Returns for how many us after a request's arrival an answer is still worth the work."""
     if request_class.late_weight >= MIN_LATE_WEIGHT or request_class.objective_stretch > 0:
         return request_class.deadline
     return request_class.latency_objective
 
 
-def _check(settings: Settings) -> None:
+def _validate(settings: Settings) -> None:
     if settings.fleet_size <= 0:
-        raise InvalidSettingsError(f"settings: fleet_size is {settings.fleet_size}, not above 0")
+        raise InvalidSettingsError(f"settings: fleet_size is {settings.fleet_size}, must be above 0")
     if settings.limits.max_attempts <= 0:
         raise InvalidSettingsError(
-            f"settings: limits.max_attempts is {settings.limits.max_attempts}, not above 0"
+            f"settings: limits.max_attempts is {settings.limits.max_attempts}, must be above 0"
         )
     if not settings.classes:
-        raise InvalidSettingsError("settings: no request classes")
+        raise InvalidSettingsError("settings: no request classes, at least one is needed")
     for number, request_class in enumerate(settings.classes):
         if request_class.latency_objective <= 0 or request_class.deadline <= 0:
-            raise InvalidSettingsError(f"settings: class {number}: objective or deadline is not above 0")
+            raise InvalidSettingsError(
+                f"settings: class {number}: latency objective {request_class.latency_objective} us"
+                f" and deadline {request_class.deadline} us must be above 0"
+            )
     for number, plan in enumerate(settings.plans):
         if not (0 <= plan.rate < math.inf and 0 <= plan.burst < math.inf):
-            raise InvalidSettingsError(f"settings: plan {number}: rate or burst is below 0 or not finite")
+            raise InvalidSettingsError(
+                f"settings: plan {number}: rate {plan.rate} and burst {plan.burst}"
+                " must be finite and at least 0"
+            )
--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -12,11 +12,11 @@
 from quota_ingress.policy.settings import Plan
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-UNKNOWN_USE_BURST_FRACTION = 1 / 8  # units unknown to the counter are reported from this part of a burst on
+UNKNOWN_USE_BURST_FRACTION = 1 / 8  # of a burst: fewer units unknown to the counter are not reported to it
 
 
 class LeasedQuota(QuotaState):
-    """Leases by windows: the counter holds what all gateways have leased since the window began."""
+    """Leases units per window: the counter holds what all gateways have leased since the window began."""
 
     __slots__ = ("unreported_units",)
 
@@ -25,7 +25,10 @@
         self.unreported_units = 0.0  # spent without the counter and not yet added to it
 
     def request_lease(self, now: int, congestion: float) -> CounterCall:
-        """Returns the call for what the first waiting request lacks, and recent demand of a second."""
+        """Returns the call for the units the first waiting request lacks and a second of expected demand.
+
+        The extra units are at most half of this gateway's even share of the rest, more under congestion.
+        """
         request = self.waiting[0].event
         remaining = self.bucket.remaining(now)
         needed = max(0.0, min(request.units - self.bucket.leased_units, remaining))
@@ -49,14 +52,14 @@
         )
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Takes back what a call was to report, if the counter added nothing."""
+        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
         if not was_added:
             self.unreported_units += call.unreported_units
 
     def on_lease_answer(
         self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
     ) -> list[CounterCall]:
-        """Takes the leased units that the bucket covers; what is past it is added back."""
+        """Grants the leased units that the bucket covers; a correction returns the excess to the counter."""
         refilled = self.plan.rate * (now - call.window_start) / SECOND
         remaining_by_counter = self.plan.burst + refilled - event.total
         remaining_here = self.bucket.remaining(now) - call.leased_units
@@ -66,16 +69,19 @@
         unknown = self._units_unknown_to_counter(remaining_by_counter - remaining_here)
         self.bucket.set_remaining(min(self.plan.burst, remaining + excess), now)
         self.bucket.leased_units += granted
-        self.local_allowance.spend(granted)  # both are parts of one bucket
+        self.local_allowance.spend(granted)  # leases and the local allowance draw on the same bucket
         self.refill_rate = min(self.plan.rate, granted / LEASE_DURATION_S)
         return [self._correction(call, unknown - excess)] if unknown != excess else []
 
     def _units_unknown_to_counter(self, difference: float) -> float:
-        """Returns how much of the `difference` to what is known here the counter has to be told.
+        """Returns how many of the units by which the counter's figure differs have to be added to it.
+
+        The counter does not know of units spent before the window began, refill lost while the bucket was
+        full, units spent without calling it, and counts that it lost. That matters only if the demand exceeds
+        the rate. Two gateways that report the same units at once report too many.
 
-        The counter does not know of burst spent before the window, time spent full, use without it, and what
-        it lost. That matters only where demand exceeds the rate. Two gateways that tell it at once tell too
-        much.
+        Args:
+            difference: The units left by the counter's total, less those left by this gateway's bound.
         """
         in_demand = self.demand.rate * self.gateway_count > self.plan.rate
         unknown = difference if in_demand else 0.0
@@ -95,17 +101,17 @@
         return min(MAX_COUNTER_TTL, 2 * self.window)
 
     def spend_without_counter(self, now: int, units: float) -> None:
-        """Takes the units off the local allowance; the next call reports them."""
+        """Deducts the units from the local allowance; the next call reports them to the counter."""
         super().spend_without_counter(now, units)
         self.unreported_units = min(self.plan.burst, self.unreported_units + units)
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
         snapshot = replace(super().hand_over(customer, plan), unreported_units=self.unreported_units)
         self.unreported_units = 0.0
         return snapshot
 
     def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
-        """Takes over the state that another process handed over."""
+        """Adopts the state that another process handed over."""
         super().restore(snapshot)
         self.unreported_units = snapshot.unreported_units
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -1,4 +1,4 @@
-"""What both kinds of customer quota have in common."""
+"""State and decisions shared by both kinds of customer quota."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
 
-NEVER = -60 * SECOND  # us: long before any moment of the process
+NEVER = -60 * SECOND  # us; before any event of the process
 
 
 class QuotaState:
-    """The parts of a quota, and the decisions that do not depend on its kind."""
+    """The base class of customer quotas: decides by the leased units and the bound of the shared bucket."""
 
     __slots__ = (
         "bucket",
@@ -40,60 +40,60 @@
     )
 
     def __init__(self, plan: Plan, gateway_count: int, slot_duration: int, now: int) -> None:
-        """Makes the quota of a customer not seen before.
+        """Creates the quota of a customer not seen before.
 
         Args:
             plan: The customer's plan.
-            gateway_count: The gateways that its requests come through.
+            gateway_count: How many gateways the customer's requests come through.
             slot_duration: Length of a slot of the borrowing ring, in us.
-            now: The moment, in us.
+            now: The current time, in us.
         """
         self.plan = plan
         self.gateway_count = gateway_count
-        self.window = SECOND  # us in which the bucket fills: one left alone for a window is full
+        self.window = SECOND  # us in which an unused bucket fills up
         if plan.rate:
             self.window = max(SECOND, int(plan.burst / plan.rate * SECOND))
-        self.retention = 3 * self.window  # us after the last request during which the state is of use
+        self.retention = 3 * self.window  # us after the last request for which the state is kept
         self.bucket = TokenBucket(plan.rate, plan.burst, now)
         self.local_allowance = LocalAllowance(plan.rate, plan.burst, gateway_count, units=plan.burst)
-        # Empty at first: the gateway may have been restarted after it spent its part.
+        # Starts empty: the gateway may have spent its share just before a restart.
         self.ceiling = LocalAllowance(plan.ceiling_rate, plan.ceiling_burst, gateway_count, units=0.0)
         self.demand = DemandRate(self.window, now)
         self.ring = BorrowingRing(slot_duration)
-        self.refill_rate = 0.0  # units a second: the last lease over its expected life
+        self.refill_rate = 0.0  # units a second: the last lease divided by its expected duration
         self.in_flight = 0  # attempts
-        self.waiting: list[Request] = []  # for the counter's answer
+        self.waiting: list[Request] = []  # for the answer to the requested lease
         self.lease_requested = False
 
     def record_arrival(self, now: int, units: float, is_retry: bool) -> None:
-        """Counts a request as demand, and refills the local parts."""
+        """Counts a request towards the demand; refills the local allowance and the ceiling."""
         elapsed_s = self.demand.record(now, units, is_retry)
         self.local_allowance.refill_to_fit(elapsed_s, units)
         self.ceiling.refill(elapsed_s)
 
     def book_retry(self, now: int, units: float) -> int:
-        """Returns the wait before a rejected request's retry in us; 0: there is no capacity in sight."""
+        """Returns the wait before a rejected request's retry in us; 0: no capacity in the borrowing ring."""
         return self.ring.book(now, units, self.refill_rate, self.demand.rate)
 
     def settle(self, settled_units: float, estimated_units: float) -> None:
-        """Corrects the units of an answered request, which are known only with its response."""
+        """Replaces a request's estimated units by the true ones, which are known only with its response."""
         self.bucket.leased_units -= settled_units - estimated_units
 
     def take_waiting(self) -> list[Request]:
-        """Returns the requests that waited for a lease, which is no longer requested."""
+        """Returns the requests that waited for a lease, and marks no lease as requested."""
         waiting = self.waiting
         self.waiting = []
         self.lease_requested = False
         return waiting
 
     def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
-        """Decides on a request by the leased units and the bound of the shared bucket.
+        """Decides how to proceed with a request, by the leased units and the bound of the shared bucket.
 
         Args:
             request: The request.
-            now: The moment, in us.
-            pacing: Whether and when the counter may be called.
-            answered: The counter has just answered: what is not covered now is over the quota.
+            now: The current time, in us.
+            pacing: Tells whether and when the counter may be called.
+            answered: The counter has just answered, so a request not covered now is over the quota.
         """
         units = request.event.units
         bucket = self.bucket
@@ -109,29 +109,29 @@
         return Decision.REQUEST_LEASE if pacing.may_call(now) else Decision.WITHOUT_COUNTER
 
     def spend(self, units: float) -> None:
-        """Takes the units of an admitted request off the lease."""
+        """Deducts the units of an admitted request from the lease."""
         self.bucket.leased_units -= units
 
     def admitted_fraction_without_counter(self, now: int, units: float, is_retry: bool) -> float:
-        """Returns the chance that a request of `units` is admitted while the counter cannot be asked.
+        """Returns the probability of admitting a request of `units` while the counter cannot be called.
 
-        A local allowance of less than a request gives a chance below 1, so that all gateways together
+        A local allowance smaller than the request gives a probability below 1, so that all gateways together
         admit about the quota.
         """
         remaining = self.bucket.remaining(now)
-        even_part = self.plan.burst / self.gateway_count if is_retry else remaining
-        covered = min(self.local_allowance.units, remaining, even_part) / units if units else 1.0
+        even_share = self.plan.burst / self.gateway_count if is_retry else remaining
+        covered_fraction = min(self.local_allowance.units, remaining, even_share) / units if units else 1.0
         if self.plan.burst >= units * self.gateway_count:
-            covered = covered // 1  # each gateway's part covers whole requests
-        return covered
+            covered_fraction = covered_fraction // 1  # a share covers a request: no admission by chance
+        return covered_fraction
 
     def spend_without_counter(self, now: int, units: float) -> None:
-        """Takes the units of a request that was admitted without the counter off the local allowance."""
+        """Deducts the units of a request admitted without the counter from the local allowance."""
         self.local_allowance.spend(units)
         self.bucket.set_remaining(self.bucket.remaining(now) - units, now)
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; leases and allowances end here."""
+        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
         snapshot = self._snapshot(customer, plan)
         self.bucket.leased_units = 0.0
         self.local_allowance.units = 0.0
@@ -139,7 +139,7 @@
         return snapshot
 
     def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
-        """Takes over the state that another process handed over."""
+        """Adopts the state that another process handed over."""
         self.bucket.set_remaining(snapshot.remaining_upper_bound, snapshot.remaining_at)
         self.bucket.leased_units = snapshot.leased_units
         self.local_allowance.units = snapshot.local_allowance
@@ -149,7 +149,7 @@
         self.demand.updated_at = snapshot.demand_at
 
     def _snapshot(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the common state; figures that the kind lacks have the values of a new customer."""
+        """Returns the common state; the fields of one kind alone have the values of a new customer."""
         return CustomerQuotaSnapshot(
             customer=customer,
             plan=plan,
