--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -143,9 +143,8 @@
         now = self._requests.now
         fraction = quota.admitted_fraction_without_counter(now, units, request.event.is_retry)
         if self._rng.random() >= fraction:
-            quota.local_allowance.units -= (
-                units * fraction
-            )  # spent by the draw: drawing again for the same units would raise the odds of admission
+            # The draw uses up the units: a second draw for them would raise the probability of admission.
+            quota.local_allowance.units -= units * fraction
             self._reject_or_defer(request)
         elif self._requests.send(request):
             quota.spend_without_counter(now, units)
--- a/quota_ingress/policy/load_balancer.py
+++ b/quota_ingress/policy/load_balancer.py
@@ -1,7 +1,8 @@
-"""Load balancing: the choice of an endpoint for an attempt, and what its end teaches.
+"""Load balancing: chooses an endpoint for an attempt, and learns from the attempt's outcome.
 
-Of a sample of the candidates the one with the lowest cost is chosen: the expected latency for the work that
-is in flight there, plus a random part that spreads the choices of gateways that know the same.
+From a random sample of the candidates, the endpoint with the lowest cost is chosen. The cost is the expected
+latency for the work in flight there, plus a random component that spreads the choices of gateways with the
+same information.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 from quota_ingress.policy.events import Outcome
 from quota_ingress.policy.settings import Settings
 
-SAMPLE_SIZE = 16  # endpoints considered for a request: all of a small fleet
+SAMPLE_SIZE = 16  # endpoints considered per attempt; covers all endpoints of a small fleet
 LOAD_REPORT_LIFETIME = SECOND  # us; older load reports are ignored
-LOAD_FIELDS = ("queue", "inflight", "util")  # values of a load report that grow with an endpoint's load
+LOAD_FIELDS = ("queue", "inflight", "util")  # fields of a load report that grow with an endpoint's load
 MAX_REPORTED_LOAD = 1e6
-MIN_WEIGHT = 1e-3  # that an endpoint's weight counts
-OTHER_ZONE_COST = 1.1  # times the cost, where traffic between zones is paid for
-BUSY_LIMIT_FRACTION = 0.7  # of its limit from which on an endpoint shows that the limit suffices
-BUSY_UTILIZATION = 0.5  # of the pooled limit, the same for the fleet
+MIN_WEIGHT = 1e-3  # lower weights of endpoints count as this
+OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, where cross-zone traffic has a price
+BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit in use, from which on good answers raise the limit
+BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise the fleet's headroom
 
 
 class LoadBalancer:
-    """Chooses endpoints for one gateway."""
+    """Chooses endpoints for the attempts of one gateway and adjusts their concurrency limits."""
 
     def __init__(self, settings: Settings, endpoints: EndpointSet, rng: random.Random) -> None:
         self._endpoints = endpoints
         self._slowdowns = endpoints.slowdowns
         self._slow_start = endpoints.slow_start
         self._limits = endpoints.limits
-        self._latency_objectives = [each.latency_objective for each in settings.classes]
+        self._latency_objectives = [class_settings.latency_objective for class_settings in settings.classes]
         self._is_load = [name in LOAD_FIELDS for name in settings.load_fields]
         self._zone = settings.zone
         self._other_zone_cost = OTHER_ZONE_COST if settings.cross_zone_price > 0 else 1.0
         self._rng = rng
 
     def choose(self, now: int, request_class: int, may_send: Callable[[Endpoint], bool]) -> Endpoint | None:
-        """Returns the endpoint for an attempt that begins now, or None where none has capacity.
+        """Returns the endpoint for an attempt that begins now, or None if none has capacity.
 
-        `may_send` tells whether the request may go to an endpoint.
+        `may_send` returns whether the request may be sent to an endpoint.
         """
         endpoints = self._endpoints
         if endpoints.utilization() >= 1:
@@ -62,7 +63,7 @@
     def on_attempt_ended(
         self, endpoint: Endpoint, now: int, request_class: int, outcome: Outcome, latency: int
     ) -> None:
-        """Learns from the end of an attempt that was sent to a chosen endpoint; latency in microseconds."""
+        """Updates slowdowns and limits after an attempt at a chosen endpoint; latency in microseconds."""
         endpoint.in_flight = max(0, endpoint.in_flight - 1)
         self._endpoints.in_flight -= 1
         self._slowdowns.record(endpoint, now, request_class, outcome, latency)
@@ -73,14 +74,14 @@
                 self._limits.adjust_headroom(step)
 
     def on_load_report(self, endpoint: Endpoint, now: int, load: Sequence[float]) -> None:
-        """Takes in a load report, its values in the order of Settings.load_fields."""
+        """Stores an endpoint's load report, whose values are in the order of Settings.load_fields."""
         for is_load, value in zip(self._is_load, load, strict=False):
             if is_load:
                 endpoint.reported_load = value if 0 <= value < MAX_REPORTED_LOAD else 0.0
                 endpoint.reported_at = now
 
     def _was_busy(self, endpoint: Endpoint, now: int) -> bool:
-        """Returns whether the endpoint was near its limit, with the attempt that has just ended."""
+        """Returns whether the endpoint was near its limit, counting the attempt that has just ended."""
         limit = endpoint.concurrency_limit
         fraction = self._slow_start.warmup_fraction(endpoint, now)
         return endpoint.in_flight + 1 >= BUSY_LIMIT_FRACTION * limit * fraction
@@ -99,8 +100,8 @@
             warming = self._slow_start.next_warming_endpoint(sample, warm, now, request_class)
             if warming and may_send(warming):
                 return warming
-        fresh = [e.reported_load for e in sample if now - e.reported_at < LOAD_REPORT_LIFETIME]
-        mean_load = sum(fresh) / max(1, len(fresh)) or 1.0
+        fresh_loads = [e.reported_load for e in sample if now - e.reported_at < LOAD_REPORT_LIFETIME]
+        mean_load = sum(fresh_loads) / max(1, len(fresh_loads)) or 1.0
         best: Endpoint | None = None
         lowest_cost = math.inf
         for endpoint in warm:
@@ -113,7 +114,10 @@
         return best
 
     def _cost(self, endpoint: Endpoint, now: int, request_class: int, mean_load: float) -> float:
-        """Returns the expected latency of one more attempt; idle endpoints are chosen by their weight."""
+        """Returns the expected latency of one more attempt, in baseline latencies, plus a random component.
+
+        Idle endpoints are chosen in proportion to their weight.
+        """
         is_fresh = now - endpoint.reported_at < LOAD_REPORT_LIFETIME
         reported = endpoint.reported_load if is_fresh else mean_load
         load = endpoint.in_flight + self._rng.expovariate(1.0) + reported / mean_load
--- a/quota_ingress/policy/request_state.py
+++ b/quota_ingress/policy/request_state.py
@@ -1,4 +1,4 @@
-"""A request while it is open, and its attempts."""
+"""The state of an open request and its attempts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A request that was forwarded to an endpoint."""
+    """One forwarding of a request to an endpoint."""
 
     endpoint: Endpoint
     sent_at: int  # us
     in_flight: bool = True
-    may_have_run: bool = True  # until its outcome proves otherwise
+    may_have_run: bool = True  # False once its outcome shows that the endpoint did not execute it
 
 
 @dataclass(slots=True)
@@ -31,11 +31,11 @@
     request_class: RequestClass
     quota: CustomerQuota
     arrived_at: int  # us
-    useful_until: int  # us; a later answer is not worth its work
+    useful_until: int  # us; a later answer is not worth the work
     attempts: list[Attempt] = field(default_factory=list)  # in the order in which they were sent
 
-    def first_run(self) -> Attempt | None:
-        """Returns the first attempt that may have run; None where none of them can have had any effect."""
+    def first_possible_run(self) -> Attempt | None:
+        """Returns the first attempt that may have run; None if none can have had any effect."""
         for attempt in self.attempts:
             if attempt.may_have_run:
                 return attempt
--- a/quota_ingress/policy/snapshot.py
+++ b/quota_ingress/policy/snapshot.py
@@ -1,6 +1,6 @@
-"""What a gateway has leased and learned, for the process that takes its place in an upgrade.
+"""The leases and statistics of a gateway that are handed over to the new process in an upgrade.
 
-The message between the processes is written and read by `quota_ingress.net.engine.snapshot_codec`.
+`quota_ingress.net.engine.snapshot_codec` encodes and decodes the message between the processes.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerQuotaSnapshot:
-    """A customer's quota state. Moments are microseconds of the clock that both processes share.
+    """A customer's quota state. Timestamps are microseconds of a clock that both processes share.
 
-    Both kinds of quota have the same figures; those that a kind lacks have the values of a new customer.
+    Both kinds of quota use the same fields; fields that a kind lacks have the values of a new customer.
     """
 
     customer: int
@@ -38,20 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """What has been learned of an endpoint."""
+    """The learned limit and slowdowns of an endpoint."""
 
     id: int
     concurrency_limit: float
-    slowdown_by_class: tuple[float, ...]  # latency over the baseline
+    slowdown_by_class: tuple[float, ...]  # latency divided by the baseline latency
 
 
 @dataclass(frozen=True, slots=True)
 class PolicySnapshot:
-    """All that one gateway hands over."""
+    """The complete state that one gateway hands over."""
 
     baseline_latencies: tuple[float, ...]  # us, by class
     mean_slowdowns: tuple[float, ...]  # by class
     fleet_headroom: float
-    counter_congestion: float  # times the interval between calls to a healthy counter
+    counter_congestion: float  # factor on the interval between calls to a healthy counter
     customers: tuple[CustomerQuotaSnapshot, ...]
     endpoints: tuple[EndpointSnapshot, ...]
