--- a/quota_ingress/simulator/__init__.py
+++ b/quota_ingress/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire."""
+"""The adapter that runs the policy on the simulator's wire protocol."""
--- a/quota_ingress/simulator/adapter.py
+++ b/quota_ingress/simulator/adapter.py
@@ -1,6 +1,6 @@
-"""Runs gateways on the simulator's wire: batches from standard input, replies to standard output.
+"""Runs gateways on the simulator's wire protocol: reads batches from stdin and writes replies to stdout.
 
-One process runs any number of instances, each a Gateway of its own.
+One process runs any number of instances, each with its own `Gateway`.
 """
 
 from __future__ import annotations
@@ -22,48 +22,51 @@
         self._gateways: dict[int, Gateway] = {}
 
     def handle(self, batch: Batch) -> list[tuple[int, list[Action]]]:
-        """Hands the batch's messages to their instances; returns what each of these decided.
+        """Dispatches the messages of a batch to their instances.
+
+        Returns:
+            Pairs of an instance with messages in the batch, unless it was stopped, and its gateway's actions.
 
         Raises:
             WireError: A message is for an instance that was not created.
-            ValueError: No gateway can work with the settings of a new instance.
+            ValueError: The settings of a new instance are invalid.
         """
-        decided: dict[int, list[Action]] = {}
+        actions_by_instance: dict[int, list[Action]] = {}
         for instance, message in batch.messages:
             if isinstance(message, InstanceCreated):
                 self._gateways[instance] = Gateway(message.settings, message.seed)
-                decided[instance] = []
+                actions_by_instance[instance] = []
             elif isinstance(message, InstanceStopped):
                 self._gateways.pop(instance, None)
-                decided.pop(instance, None)
+                actions_by_instance.pop(instance, None)
             elif instance in self._gateways:
                 actions = self._gateways[instance].handle(batch.now, message)
-                decided.setdefault(instance, []).extend(actions)
+                actions_by_instance.setdefault(instance, []).extend(actions)
             else:
                 raise WireError(f"Context.i: instance {instance} was not created")
-        return list(decided.items())
+        return list(actions_by_instance.items())
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers every batch until the input ends.
+    """Replies to every batch from `source` on `sink`, until the input ends.
 
     Raises:
-        WireError: The input does not follow the format.
-        ValueError: No gateway can work with the settings of a new instance.
+        WireError: The input does not conform to the wire format.
+        ValueError: The settings of a new instance are invalid.
     """
     decoder = BatchDecoder()
     host = InstanceHost()
-    while head := source.read(LENGTH.size):
-        if len(head) < LENGTH.size:
-            raise WireError(f"length: input ends after {len(head)} of {LENGTH.size} bytes")
-        (length,) = LENGTH.unpack(head)
+    while length_field := source.read(LENGTH.size):
+        if len(length_field) < LENGTH.size:
+            raise WireError(f"length: input ends after {len(length_field)} of {LENGTH.size} bytes")
+        (length,) = LENGTH.unpack(length_field)
         batch = decoder.decode(_read_frame(source, length))
         sink.write(encode_reply(batch.number, host.handle(batch)))
         sink.flush()
 
 
 def main() -> int:
-    """Runs the adapter; returns the process's exit code."""
+    """Runs the adapter on stdin and stdout; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
--- a/quota_ingress/simulator/decoder.py
+++ b/quota_ingress/simulator/decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's batches into the events of the policy."""
+"""Decodes the simulator's batches into events of the policy."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 )
 
 Value = TypeVar("Value")
-Fields = tuple[Any, ...]  # of one record, as its layout unpacks them
+Fields = tuple[Any, ...]  # the unpacked values of one record, in the order of its layout
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceCreated:
-    """A gateway starts, perhaps again."""
+    """An instance starts or restarts."""
 
     settings: Settings
     seed: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """A gateway is gone, with all that it knows."""
+    """An instance stops and loses its state."""
 
 
 Message = Event | InstanceCreated | InstanceStopped
@@ -59,15 +59,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What happens to the instances at one moment, in order."""
+    """The messages for all instances at one point in time, in order."""
 
     now: int  # us
     number: int
-    messages: tuple[tuple[int, Message], ...]  # with the instance that each is for
+    messages: tuple[tuple[int, Message], ...]  # pairs of an instance number and a message for it
 
 
 class BatchDecoder:
-    """Decodes batches in the order in which they come: lists of endpoints outlive the batch they came in."""
+    """Decodes batches, in the order received: later batches may refer to endpoint lists of earlier ones."""
 
     def __init__(self) -> None:
         self._pages: dict[int, tuple[ListedEndpoint, ...]] = {}  # by page number
@@ -77,10 +77,10 @@
         """Decodes a batch; `frame` is everything after the length field.
 
         Raises:
-            WireError: The frame does not follow the format.
+            WireError: The frame does not conform to the wire format.
         """
         if len(frame) < BATCH_HEADER.size:
-            raise WireError(f"batch header: {len(frame)} bytes, {BATCH_HEADER.size} needed")
+            raise WireError(f"batch header: got {len(frame)} bytes, expected {BATCH_HEADER.size}")
         now, count, number = BATCH_HEADER.unpack_from(frame)
         tail_at = BATCH_HEADER.size + count * EVENT_SIZE
         if tail_at > len(frame):
@@ -100,17 +100,17 @@
             decode = self._decoders.get(code)
             if decode is not None:
                 if instance is None:
-                    raise WireError(f"{EventCode(code).title}: no Context before it")
+                    raise WireError(f"{EventCode(code).title}: no Context record before it in the batch")
                 messages.append((instance, decode(fields, tail)))
             elif code == EventCode.CONTEXT:
                 instance = fields[0]
             else:
-                self._add_page(fields, tail)
+                self._store_page(fields, tail)
         return messages
 
-    def _add_page(self, fields: Fields, tail: memoryview) -> None:
+    def _store_page(self, fields: Fields, tail: memoryview) -> None:
         number, offset, count = fields
-        self._pages[number] = _decode_entries(_cut(tail, offset, count * ENTRY_SIZE, "Page.records"))
+        self._pages[number] = _decode_entries(_slice_tail(tail, offset, count * ENTRY_SIZE, "Page.records"))
 
     def _decode_list(self, fields: Fields, tail: memoryview) -> EndpointsListed:
         kind_code, version, page = fields
@@ -137,7 +137,7 @@
 
 
 def decode_attempt_end(fields: Fields, tail: memoryview) -> AttemptEnded:
-    """Decodes a Verdict record; the meter's figure is not used."""
+    """Decodes a Verdict record; its meter field is ignored."""
     request, attempt, endpoint, outcome, latency, request_ended, _, settled_units, load_count, *load = fields
     return AttemptEnded(
         request=request,
@@ -187,11 +187,11 @@
 def decode_creation(fields: Fields, tail: memoryview) -> InstanceCreated:
     """Decodes a Create record."""
     seed, offset, length = fields
-    document = bytes(_cut(tail, offset, length, "Create.config"))
+    document = bytes(_slice_tail(tail, offset, length, "Create.config"))
     try:
         return InstanceCreated(settings_from_json(document), seed)
     except SettingsError as error:
-        raise WireError(f"config: {error}") from None
+        raise WireError(f"Create.config: {error}") from None
 
 
 def decode_stop(fields: Fields, tail: memoryview) -> InstanceStopped:
@@ -202,10 +202,10 @@
 def decode_peer_message(fields: Fields, tail: memoryview) -> PeerMessage:
     """Decodes a NeighbourSays record."""
     sender, offset, length = fields
-    return PeerMessage(sender, bytes(_cut(tail, offset, length, "NeighbourSays.body")))
+    return PeerMessage(sender, bytes(_slice_tail(tail, offset, length, "NeighbourSays.body")))
 
 
-DECODERS: dict[int, Callable[[Fields, memoryview], Message]] = {  # each takes the frame's tail as well
+DECODERS: dict[int, Callable[[Fields, memoryview], Message]] = {  # the second argument is the frame's tail
     EventCode.ADDED: decode_counter_answer,
     EventCode.NEIGHBOUR_SAYS: decode_peer_message,
     EventCode.DETACH: decode_stop,
@@ -243,16 +243,18 @@
 
 def _load_report(count: int, values: Sequence[float]) -> tuple[float, ...]:
     if count > MAX_LOAD_VALUES:
-        raise WireError(f"report: {count} values, {MAX_LOAD_VALUES} at most")
+        raise WireError(f"load report: got {count} values, at most {MAX_LOAD_VALUES} allowed")
     return tuple(values[:count])
 
 
-def _cut(tail: memoryview, offset: int, length: int, field: str) -> memoryview:
+def _slice_tail(tail: memoryview, offset: int, length: int, field: str) -> memoryview:
     if offset + length > len(tail):
-        raise WireError(f"{field}: bytes {offset} to {offset + length} lie outside the tail of {len(tail)}")
+        raise WireError(
+            f"{field}: bytes {offset} to {offset + length} lie outside the tail of {len(tail)} bytes"
+        )
     return tail[offset : offset + length]
 
 
 def _to_int(value: float) -> int:
-    """Returns the whole part; 0 for what has none."""
+    """Returns the value truncated to an integer; 0 for infinities and NaN."""
     return int(value) if math.isfinite(value) else 0
--- a/quota_ingress/simulator/encoder.py
+++ b/quota_ingress/simulator/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes the actions of the policy into the simulator's replies."""
+"""Encodes actions of the policy into the simulator's replies."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def _packer(code: ActionCode) -> Callable[..., bytes]:
-    """Returns a function that makes a record of that kind from its fields."""
+    """Returns a function that packs the fields of a record of that kind."""
     return partial(ACTION_LAYOUTS[code].pack, code)
 
 
@@ -53,7 +53,10 @@
 
 
 def encode_reply(number: int, groups: Sequence[tuple[int, Sequence[Action]]]) -> bytes:
-    """Returns the reply to batch `number`, its length field included: the actions of each instance."""
+    """Returns the reply to batch `number`, including its length field.
+
+    `groups` are pairs of an instance number and the instance's actions.
+    """
     records: list[bytes] = []
     tail = bytearray()
     for instance, actions in groups:
@@ -66,7 +69,7 @@
 
 
 def _encode_action(action: Action, tail: bytearray) -> bytes:
-    """Returns an action's record; data of variable size goes into the tail."""
+    """Returns an action's record; appends data of variable size to the tail."""
     match action:
         case SendAttempt(request, endpoint, timeout):
             return _pack_submit_to(request, endpoint_bytes(endpoint), timeout)
--- a/quota_ingress/simulator/wire.py
+++ b/quota_ingress/simulator/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: its record codes, layouts and numbers.
+"""The simulator's wire protocol: record codes, layouts and numeric values.
 
-A batch and a reply are frames of little-endian records of a fixed size and a tail for data of variable size.
-The simulator's words appear in this package and nowhere else; what they mean here stands beside each.
+Batches and replies are frames of little-endian, fixed-size records followed by a tail for data of variable
+size. The protocol's own terms are used only in this package; a comment gives the policy's term for each.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 ACTION_SIZE = 24  # bytes of an action record, its code included
 ENTRY_SIZE = 24  # bytes of an entry of an endpoint list
 ENDPOINT_SIZE = 6  # bytes of an endpoint's id
-MAX_LOAD_VALUES = 4  # of a load report
+MAX_LOAD_VALUES = 4  # values of a load report
 EVERY_PEER = 0xFFFFFFFF
-REPEATED_BIT = 2  # of JobIn.bits: the client's retry
+REPEATED_BIT = 2  # mask in JobIn.bits: the request is a client's retry
 
 
 class WireError(Exception):
-    """A frame that does not follow the format."""
+    """A frame does not conform to the wire format."""
 
 
 class EventCode(IntEnum):
-    """Codes of the records of a batch."""
+    """Record codes of a batch."""
 
     ADDED = 1  # CounterAnswered
     NEIGHBOUR_SAYS = 2  # PeerMessage
@@ -34,8 +34,8 @@
     CREATE = 4  # the instance is created
     JOB_IN = 5  # RequestArrived
     DUE = 6  # TimerFired
-    CONTEXT = 7  # the instance of the records that follow
-    PAGE = 8  # a numbered list of endpoints, to be referred to
+    CONTEXT = 7  # sets the instance for the records that follow
+    PAGE = 8  # a numbered list of endpoints, to which DIRECTORY_UPDATE refers
     STARTED = 9  # StreamStarted
     PONG = 10  # ProbeAnswered
     VERDICT = 11  # AttemptEnded
@@ -44,12 +44,12 @@
 
     @property
     def title(self) -> str:
-        """The record's name on the wire's page."""
+        """The record's name in the protocol's documentation, such as JobIn."""
         return self.name.title().replace("_", "")
 
 
 class ActionCode(IntEnum):
-    """Codes of the records of a reply."""
+    """Record codes of a reply."""
 
     SUBMIT_TO = 1  # SendAttempt
     OVERLOAD_REPLY = 2  # Reject
@@ -63,44 +63,44 @@
     TAIL = 11  # SubscribeToEndpoints
     GET_LIST = 12  # FetchEndpointList
     INCR = 13  # AddToCounter
-    SPEAKING = 14  # the instance of the records that follow
+    SPEAKING = 14  # sets the instance for the records that follow
 
 
-LENGTH = struct.Struct("<I")  # of the frame's rest, in bytes
+LENGTH = struct.Struct("<I")  # bytes of the frame after this field
 BATCH_HEADER = struct.Struct("<QII")  # now, records, batch number
 REPLY_HEADER = struct.Struct("<III")  # length, records, batch number
 
-# The fields of a record after its code; of data in the tail, offset and length.
+# The fields of each record after its code. Data in the tail is given by two fields: offset and length.
 EVENT_LAYOUTS: dict[int, struct.Struct] = {
     EventCode.ADDED: struct.Struct("<2xQHfI"),  # counter name, outcome, total, latency
     EventCode.NEIGHBOUR_SAYS: struct.Struct("<2xHII"),  # sender, data
     EventCode.DETACH: struct.Struct("<2x"),
     EventCode.CREATE: struct.Struct("<2xQII"),  # seed, settings
-    EventCode.JOB_IN: struct.Struct("<2xIHHfffIQH"),  # as decoder.decode_request names them
+    EventCode.JOB_IN: struct.Struct("<2xIHHfffIQH"),  # as unpacked in decoder.decode_request
     EventCode.DUE: struct.Struct("<2xQ"),  # token
     EventCode.CONTEXT: struct.Struct("<2xI"),  # instance
-    EventCode.PAGE: struct.Struct("<2xBII"),  # page number, entries (their length is a count)
+    EventCode.PAGE: struct.Struct("<2xBII"),  # page number, entries (offset and number of entries)
     EventCode.STARTED: struct.Struct("<2xIH6sI"),  # request, attempt, endpoint, latency
     EventCode.PONG: struct.Struct("<2x6sHIB4f"),  # endpoint, outcome, latency, load report
-    EventCode.VERDICT: struct.Struct("<2xIH6sHIBHHB4f"),  # as decoder.decode_attempt_end names them
+    EventCode.VERDICT: struct.Struct("<2xIH6sHIBHHB4f"),  # as unpacked in decoder.decode_attempt_end
     EventCode.VANISHED: struct.Struct("<2xI"),  # request
     EventCode.DIRECTORY_UPDATE: struct.Struct("<2xBQB"),  # list kind, version, page number
 }
 
 
 def _action_layout(fields: str) -> struct.Struct:
-    """Returns the layout of an action record: its code, the fields and the padding."""
+    """Returns the layout of an action record: code, fields, and padding up to ACTION_SIZE."""
     padding = ACTION_SIZE - struct.calcsize("<H" + fields)
     return struct.Struct(f"<H{fields}{padding}x")
 
 
-# The fields of a record after its code; of data in the tail, offset and length.
+# The fields of each record after its code. Data in the tail is given by two fields: offset and length.
 ACTION_LAYOUTS: dict[ActionCode, struct.Struct] = {
     ActionCode.SUBMIT_TO: _action_layout("I6sI"),  # request, endpoint, timeout
     ActionCode.OVERLOAD_REPLY: _action_layout("II"),  # request, Retry-After
     ActionCode.RESPOND_ERROR: _action_layout("I"),  # request
     ActionCode.DROP_ATTEMPT: _action_layout("IH"),  # request, attempt
-    ActionCode.ARM: _action_layout("QQ"),  # token, moment
+    ActionCode.ARM: _action_layout("QQ"),  # token, time
     ActionCode.PROBE: _action_layout("6s"),  # endpoint
     ActionCode.FREE_LINKS: _action_layout("6s"),  # endpoint
     ActionCode.TELL: _action_layout("III"),  # peer, data
@@ -111,7 +111,7 @@
     ActionCode.SPEAKING: _action_layout("I"),  # instance
 }
 
-ENTRY_LAYOUT = struct.Struct("<BHBQf6sH")  # state, cell, zone, start, weight, endpoint, machine kind
+ENTRY_LAYOUT = struct.Struct("<BHBQf6sH")  # state, cell, zone, start time, weight, endpoint, machine kind
 
 OUTCOMES = {
     200: Outcome.OK,
@@ -128,10 +128,10 @@
 
 
 def endpoint_id(data: bytes) -> int:
-    """Returns an endpoint's id as a number."""
+    """Returns the integer id for an endpoint's id on the wire."""
     return int.from_bytes(data, "little")
 
 
 def endpoint_bytes(number: int) -> bytes:
-    """Returns an endpoint's id as it stands on the wire."""
+    """Returns an endpoint's id as encoded on the wire."""
     return number.to_bytes(ENDPOINT_SIZE, "little")
