--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -50,8 +50,8 @@
         self.slow_start = SlowStart(settings.safety, self.slowdowns)
         self.limits = ConcurrencyLimits(initial_limit, self.slowdowns)
         self.listed_endpoints: dict[int, ListedEndpoint] = {}
-        self.listed_ready = 0  # endpoint_id of ready endpoints in `listed_endpoints`
-        self.ready_total = 0  # endpoint_id of all ready endpoints, even if only some of the list was received
+        self.listed_ready = 0  # number of ready endpoints in `listed_endpoints`
+        self.ready_total = 0  # number of all ready endpoints, even if only some of the list was received
         self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
         self.candidates: dict[int, Endpoint] = {}  # the candidate subset, draining endpoints included
         self.ready = CandidateSet()  # the ready candidates
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The order of admission's questions: cap, ceiling, quota, paid over-quota service, the ring."""
+"""Admission control: limit on attempts, hard ceiling, over-quota service, Retry-After, idle customers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 
-def test_retry_after_depends_on_the_capacity_of_the_ring() -> None:
+def test_retry_after_depends_on_the_capacity_of_the_borrowing_ring() -> None:
     answers = []
     for capacity in (0.0, 2.0):
         gateway, counter = gateway_with_endpoints(), Counter()
@@ -48,29 +48,29 @@
     assert list(gateway.admission.customers) == [99]
 
 
-def test_over_quota_requests_are_served_where_the_plan_pays_and_the_fleet_has_capacity() -> None:
+def test_over_quota_requests_are_sent_if_the_plan_pays_and_the_fleet_has_spare_capacity() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     sent = sum(len(of(settle(gateway, 0, arrival(n, plan=1), counter), SendAttempt)) for n in range(40))
-    assert 4 < sent <= 20  # past the burst of 4, but only up to 0.6 of the capacity of four times eight
+    assert 4 < sent <= 20  # beyond the burst of 4, but only up to 0.6 of the fleet's capacity of 4 * 8
 
 
-def test_cap_on_attempts_in_flight() -> None:
+def test_attempts_in_flight_are_limited_by_the_plan() -> None:
     gateway = gateway_with_endpoints()
-    decided = [gateway.handle(0, arrival(n, plan=2)) for n in range(3)]
-    assert [len(of(a, SendAttempt)) for a in decided] == [1, 1, 0] and of(decided[2], Reject)
-    send = of(decided[0], SendAttempt)[0]
+    decisions = [gateway.handle(0, arrival(n, plan=2)) for n in range(3)]
+    assert [len(of(a, SendAttempt)) for a in decisions] == [1, 1, 0] and of(decisions[2], Reject)
+    send = of(decisions[0], SendAttempt)[0]
     gateway.handle(9000, AttemptEnded(0, 0, send.endpoint, Outcome.OK, 9000, True))
     assert of(gateway.handle(9000, arrival(4, plan=2)), SendAttempt)
 
 
-def test_two_gateways_keep_the_hard_ceiling_through_restarts() -> None:
+def test_two_gateways_do_not_exceed_the_hard_ceiling_when_they_restart() -> None:
     counter = Counter()
     sent = []
     for run in range(3):
-        pair = [gateway_with_endpoints(), gateway_with_endpoints()]
+        gateways = [gateway_with_endpoints(), gateway_with_endpoints()]
         for ms in range(0, 4000, 20):
             now = run * 4 * SECOND + ms * 1000
-            actions = settle(pair[ms // 20 % 2], now, arrival(now, plan=3), counter)
+            actions = settle(gateways[ms // 20 % 2], now, arrival(now, plan=3), counter)
             sent += [now] * len(of(actions, SendAttempt))
     remaining = 8.0
     last_sent_at = 0
@@ -81,13 +81,15 @@
     assert len(sent) > 5
 
 
-@pytest.mark.parametrize("size", [1, 2, 350])
-@pytest.mark.parametrize(("first", "count"), [(0, 0), (9999, 65535), (-5, -1), (0, 2**31)])
-def test_an_impossible_gateway_set_admits_no_more_than_a_burst(size: int, first: int, count: int) -> None:
-    gateway, counter = Gateway(settings(fleet_size=size), 1), Counter()
+@pytest.mark.parametrize("gateways_in_fleet", [1, 2, 350])
+@pytest.mark.parametrize(("first_index", "claimed_count"), [(0, 0), (9999, 65535), (-5, -1), (0, 2**31)])
+def test_invalid_gateway_counts_admit_at_most_one_burst(
+    gateways_in_fleet: int, first_index: int, claimed_count: int
+) -> None:
+    gateway, counter = Gateway(settings(fleet_size=gateways_in_fleet), 1), Counter()
     gateway.handle(0, listed(endpoint_entry(1), endpoint_entry(2)))
     sent = 0
     for n in range(60):
-        event = arrival(n, first_gateway=first, gateway_count=count)
+        event = arrival(n, first_gateway=first_index, gateway_count=claimed_count)
         sent += len(of(settle(gateway, 0, event, counter), SendAttempt))
     assert sent <= PLANS[0].burst
--- a/tests/test_counted_quota.py
+++ b/tests/test_counted_quota.py
@@ -1,4 +1,4 @@
-"""Customers of many gateways: the decaying count, deferred requests, and the lease statistics."""
+"""Quotas of customers with many gateways: the decaying count, deferred requests, and lease statistics."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 FLEET_SIZE = 30
 BURST, RATE = 4.0, 2.0  # of plan 0
 WINDOW = 2 * SECOND  # the burst over the rate
-EXHAUSTED = 1e4  # a total of the counter that is far beyond any limit
+EXHAUSTED = 1e4  # a total of the counter far above any limit
 MAX_DEFER = int(MAX_DEFER_FRACTION * SECOND)  # class 0's latency objective is a second
 
 
 class Sent(NamedTuple):
-    """Requests sent, by what the quota held at that moment."""
+    """Numbers of requests sent, by whether the quota covered them at that time."""
 
     within_quota: int
     beyond_quota: int
@@ -41,7 +41,10 @@
 
 
 def sent_by_fleet(mean_gap: int, seconds: int, congestion: float, counter_lost_at: float = -1) -> Sent:
-    """One customer's requests arrive at random moments, each at a random gateway of the fleet."""
+    """Returns how many requests of one customer a fleet sends.
+
+    The requests arrive at random times (`mean_gap` in us apart), each at a random gateway.
+    """
     fleet = [wide_gateway() for _ in range(FLEET_SIZE)]
     counter = Counter()
     rng = random.Random(5)
@@ -65,27 +68,31 @@
     return Sent(*sent)
 
 
-def test_a_heavy_customer_gets_its_quota_and_hardly_more() -> None:
-    """The counter is crowded; draws by the last window's demand admitted as much again beyond the quota."""
+def test_a_customer_far_over_its_quota_gets_little_more_than_its_quota() -> None:
+    """Guards against over-admission while the counter is congested.
+
+    When requests were admitted at random by the demand of the last window, as many were admitted beyond the
+    quota as within it.
+    """
     within, beyond = sent_by_fleet(SECOND // 10, 60, congestion=4.0)
     assert within > 0.7 * (BURST + RATE * 60) and beyond < 0.1 * within
 
 
-def test_a_lost_count_admits_a_burst_more_at_most() -> None:
+def test_a_lost_count_admits_at_most_one_more_burst() -> None:
     _, beyond = sent_by_fleet(SECOND // 10, 20, congestion=1.0, counter_lost_at=8.2 * SECOND)
     assert beyond <= BURST
 
 
-def test_a_customer_that_asks_for_half_its_quota_is_admitted() -> None:
+def test_a_customer_that_requests_half_its_quota_is_admitted() -> None:
     within, _ = sent_by_fleet(SECOND, 60, congestion=4.0)
     assert within > 60
 
 
-def test_a_customer_that_paused_has_its_burst_again_and_no_more() -> None:
+def test_after_a_pause_a_customer_gets_exactly_its_burst_again() -> None:
     fleet = [wide_gateway() for _ in range(FLEET_SIZE)]
     counter = Counter()
     sent = []
-    for start in (SECOND, 31 * SECOND):  # all at once, at one gateway after another
+    for start in (SECOND, 31 * SECOND):  # one request at each gateway, all at the same time
         sent.append(0)
         for n, gateway in enumerate(fleet):
             actions = settle(gateway, start, arrival(start + n, gateway_count=FLEET_SIZE), counter)
@@ -99,8 +106,8 @@
     actions = gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE))
     (timer,) = of(actions, SetTimer)
     assert not of(actions, AddToCounter | Reject | SendAttempt)
-    decided = settle(gateway, timer.at, TimerFired(timer.token), counter)
-    assert answer_attempts(gateway, timer.at, decided) == 1
+    actions_when_due = settle(gateway, timer.at, TimerFired(timer.token), counter)
+    assert answer_attempts(gateway, timer.at, actions_when_due) == 1
     assert len(counter.totals) == 1
 
 
@@ -111,12 +118,14 @@
     assert of(gateway.handle(SECOND + MAX_DEFER, TimerFired(1)), SendAttempt)
 
 
-def test_calls_to_a_crowded_counter_are_for_customers_without_recent_rejections() -> None:
+def test_calls_to_a_congested_counter_are_reserved_for_customers_without_recent_rejections() -> None:
     gateway = wide_gateway()
     (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
     gateway.handle(SECOND, CounterAnswered(call.name, Outcome.OK, EXHAUSTED, 1000))
-    now = 30 * SECOND  # fifteen windows later nothing is left of the count, but its low success rate is
-    set_pacing(gateway, next_call_at=now - SECOND // 8, congestion=4.0)  # half of a burst of calls is left
+    now = 30 * SECOND  # 15 windows later the count has decayed, but the customer's success rate is still low
+    set_pacing(
+        gateway, next_call_at=now - SECOND // 8, congestion=4.0
+    )  # half of the burst of calls is unused
     assert not of(gateway.handle(now, arrival(2, gateway_count=FLEET_SIZE)), AddToCounter)
     assert of(gateway.handle(now, arrival(3, customer=8, gateway_count=FLEET_SIZE)), AddToCounter)
 
@@ -124,7 +133,7 @@
 def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
     gateway = wide_gateway()
     (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
-    gateway.handle(SECOND, CounterAnswered(call.name, Outcome.TIMEOUT, 0.0, 30_000))  # the local allowance
+    gateway.handle(SECOND, CounterAnswered(call.name, Outcome.TIMEOUT, 0.0, 30_000))  # admitted locally
     assert gateway.attempts_in_flight
     set_pacing(gateway, next_call_at=0)
     (call,) = of(gateway.handle(SECOND, arrival(2, gateway_count=FLEET_SIZE)), AddToCounter)
@@ -138,17 +147,17 @@
     assert of(gateway.handle(1000, arrival(2, gateway_count=100)), Reject)
 
 
-def test_without_a_counter_a_retry_does_not_pass_as_a_first_request() -> None:
+def test_without_a_counter_a_retry_is_not_admitted_as_a_first_request() -> None:
     gateway = wide_gateway(fleet_size=100, counter=CounterLimits(False))
     sent = 0
     for n in range(100):
         event = arrival(n, customer=n, gateway_count=100, is_retry=True)
         sent += answer_attempts(gateway, 0, gateway.handle(0, event))
-    assert 0 < sent < 15  # the even part is a twenty-fifth of a request
+    assert 0 < sent < 15  # each gateway's even share is 1/25 of a request
 
 
 def corrected_leases(uncounted: int) -> int:
-    """Returns how many of 200 rejected leases are added back after `uncounted` uncounted requests."""
+    """Returns how many of 200 rejected leases are corrected after `uncounted` requests bypass the counter."""
     gateway = wide_gateway()
     now = SECOND
     for n in range(uncounted):
@@ -166,15 +175,15 @@
     return calls
 
 
-def test_rejected_leases_are_added_back_unless_many_requests_go_uncounted() -> None:
+def test_rejected_leases_are_corrected_unless_many_requests_are_uncounted() -> None:
     assert corrected_leases(uncounted=0) == 200
-    assert corrected_leases(uncounted=30) < 195  # soon all are again: the counter is called for each
+    assert corrected_leases(uncounted=30) < 195  # corrections resume soon, as each of these calls is answered
     assert corrected_leases(uncounted=200) < corrected_leases(uncounted=30)
 
 
-def test_an_unknown_customer_is_admitted_without_the_counter_as_its_plans_customers_fare() -> None:
+def test_without_the_counter_a_new_customer_is_admitted_by_the_success_rate_of_its_plan() -> None:
     gateway = wide_gateway()
-    for n in range(30):  # the first leases of this plan's customers are rejected
+    for n in range(30):  # the first leases of 30 customers of the plan are rejected
         set_pacing(gateway, next_call_at=0)
         (call,) = of(gateway.handle(SECOND, arrival(n, customer=n, gateway_count=FLEET_SIZE)), AddToCounter)
         gateway.handle(SECOND, CounterAnswered(call.name, Outcome.OK, EXHAUSTED, 1000))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The life of a request: the rules as properties over random event sequences, and events out of place."""
+"""The life cycle of a request: safety rules over random event sequences, and unexpected or invalid events."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class ObservedAttempt(NamedTuple):
-    """An attempt, as it was sent."""
+    """An attempt that the gateway sent; times in us."""
 
     endpoint: int
     sent_at: int
@@ -67,7 +67,7 @@
 
 
 class PendingCall(NamedTuple):
-    """A call to the counter that has no answer yet."""
+    """A call to the counter without an answer so far."""
 
     called_at: int
     call: AddToCounter
@@ -75,7 +75,7 @@
 
 @dataclass
 class ObservedRequest:
-    """What an outside observer knows of one request."""
+    """What an outside observer knows about one request."""
 
     request_class: RequestClass
     deadline: int
@@ -88,7 +88,7 @@
 
 
 class RuleChecker:
-    """Plays events at a gateway and checks each action against the rules."""
+    """Passes events to a gateway and checks each of its actions against the safety rules."""
 
     def __init__(self, seed: int, may_hedge: bool) -> None:
         self.rng = random.Random(seed)
@@ -119,19 +119,19 @@
     def check_answer(self, action: Reject | Fail) -> None:
         request = self.requests[action.request]
         request.answers += 1
-        assert request.answers == 1, "a second final answer"
-        assert self.now <= request.deadline + ANSWER_SLACK, "a late answer"
+        assert request.answers == 1, "request got a second final answer"
+        assert self.now <= request.deadline + ANSWER_SLACK, "request was answered after its deadline"
         if isinstance(action, Reject) and request.request_class.idempotency is not Idempotency.IDEMPOTENT:
             assert not any(request.may_have_run(n) for n in range(len(request.attempts)))
 
     def check_attempt(self, action: SendAttempt) -> None:
         request = self.requests[action.request]
-        assert request.answers == 0, "sent after its end"
-        assert self.states[action.endpoint] is READY, "sent to a draining endpoint"
+        assert request.answers == 0, "attempt sent after the request's final answer"
+        assert self.states[action.endpoint] is READY, "attempt sent to an endpoint that is not ready"
         assert 0 < action.timeout <= request.deadline - self.now
         numbers = range(len(request.attempts))
         in_flight = [n for n in numbers if n not in request.outcomes]
-        assert self.may_hedge or not in_flight, "two attempts in flight"
+        assert self.may_hedge or not in_flight, "two attempts in flight without hedging"
         runs = [request.attempts[n] for n in numbers if request.may_have_run(n)]
         if runs:
             self.check_second_run(request.request_class, runs[0], action.endpoint)
@@ -140,7 +140,7 @@
 
     def check_second_run(self, request_class: RequestClass, first: ObservedAttempt, endpoint: int) -> None:
         idempotency = request_class.idempotency
-        assert idempotency is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
+        assert idempotency is not Idempotency.NOT_IDEMPOTENT, "request that is not idempotent sent again"
         if idempotency is Idempotency.WITH_KEY:
             assert self.cells[first.endpoint] == self.cells[endpoint]
             assert self.now - first.sent_at < request_class.deduplication_window
@@ -216,11 +216,11 @@
         checker.step(choice)
     for _ in range(8):
         checker.advance(500_000)
-    assert all(request.answers == 1 for request in checker.requests.values()), "a request without its answer"
+    assert all(request.answers == 1 for request in checker.requests.values()), "request without an answer"
 
 
-def recorded_actions(seed: int) -> list[list[Action]]:
-    """What a gateway decides, event by event."""
+def actions_of_random_run(seed: int) -> list[list[Action]]:
+    """Returns a gateway's actions for each event of a random sequence."""
     checker = RuleChecker(seed, may_hedge=True)
     handle = checker.gateway.handle
     recorded: list[list[Action]] = []
@@ -238,7 +238,7 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=20)
 @given(st.integers(0, 10**6))
 def test_equal_seeds_and_events_lead_to_equal_actions(seed: int) -> None:
-    assert recorded_actions(seed) == recorded_actions(seed)
+    assert actions_of_random_run(seed) == actions_of_random_run(seed)
 
 
 @pytest.mark.parametrize(
@@ -254,18 +254,19 @@
         EndpointsListed(ListKind.FAILED, 0, ()),
     ],
 )
-def test_events_that_name_nothing_known_do_nothing(event: Event) -> None:
+def test_events_with_unknown_ids_cause_no_action(event: Event) -> None:
     assert RuleChecker(1, may_hedge=True).gateway.handle(5, event) == []
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"request_class": 9}, {"plan": 9}, {"units": float("nan")}, {"units": -1.0}, {"time_left": 0}]
+    "invalid_fields",
+    [{"request_class": 9}, {"plan": 9}, {"units": float("nan")}, {"units": -1.0}, {"time_left": 0}],
 )
-def test_requests_outside_the_settings_are_rejected(wrong: dict[str, float]) -> None:
-    assert RuleChecker(1, may_hedge=True).gateway.handle(5, arrival(1, **wrong)) == [Reject(1)]
+def test_requests_with_invalid_fields_are_rejected(invalid_fields: dict[str, float]) -> None:
+    assert RuleChecker(1, may_hedge=True).gateway.handle(5, arrival(1, **invalid_fields)) == [Reject(1)]
 
 
-def test_load_reports_with_impossible_values_are_harmless() -> None:
+def test_load_reports_with_invalid_values_raise_no_error() -> None:
     checker = RuleChecker(1, may_hedge=True)
     checker.requests[1] = ObservedRequest(CLASSES[0], 3 * SECOND)
     checker.play(arrival(1, plan=2))
@@ -276,7 +277,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "words"),
+    ("changes", "message"),
     [
         ({"fleet_size": 0}, "fleet_size is 0"),
         ({"limits": {"max_attempts": 0}}, "max_attempts is 0"),
@@ -285,27 +286,27 @@
         ({"plans": (PLANS[0], replace(PLANS[0], burst=math.nan))}, "plan 1"),
     ],
 )
-def test_settings_out_of_range_are_refused_by_name(changes: dict[str, Any], words: str) -> None:
-    with pytest.raises(InvalidSettingsError, match=words):
+def test_errors_about_settings_name_the_setting_out_of_range(changes: dict[str, Any], message: str) -> None:
+    with pytest.raises(InvalidSettingsError, match=message):
         Gateway(settings(**changes), seed=1)
 
 
-def test_subscribes_to_the_endpoint_list_where_it_must() -> None:
+def test_subscribes_to_the_endpoint_list_if_the_settings_require_it() -> None:
     gateway = Gateway(settings(must_subscribe=True), 1)
     assert of(gateway.handle(0, listed(endpoint_entry(1), kind=ListKind.CACHED)), SubscribeToEndpoints)
     assert of(gateway.handle(9, EndpointsListed(ListKind.FAILED, 0, ())), SubscribeToEndpoints)
 
 
-def test_customers_seen_once_are_forgotten_when_their_bucket_must_be_full() -> None:
+def test_idle_customers_are_discarded_once_their_bucket_must_be_full() -> None:
     gateway = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
     gateway.handle(0, listed(endpoint_entry(1)))
-    for n in range(40):  # a window is two seconds
+    for n in range(40):  # a window is two seconds long
         gateway.handle(n * SECOND, arrival(n, customer=n))
         gateway.handle(n * SECOND, ClientDisconnected(n))
     assert len(gateway.admission.customers) <= 8
 
 
-def test_events_in_any_order_leave_one_answer_each() -> None:
+def test_reordered_repeated_and_stray_events_cause_no_second_answer() -> None:
     gateway = gateway_with_endpoints(20, fleet_size=100, plans=UNLIMITED_PLANS)
     rejections: dict[int, int] = {}
     ended: list[Event] = []
@@ -315,14 +316,14 @@
         ended += [AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 1000, True) for sent in attempts]
         for rejection in of(actions, Reject):
             rejections[rejection.request] = rejections.get(rejection.request, 0) + 1
-    strays: list[Event] = [
+    stray_events: list[Event] = [
         ClientDisconnected(777),
         CounterAnswered(5, Outcome.OK, -3.0, 1),
         PeerMessage(9, b"\xff"),
         TimerFired(3),
         AttemptEnded(4000, 2, 1, Outcome.ERROR, 5, True),
     ]
-    for event in [*reversed(ended), *strays, *ended]:
+    for event in [*reversed(ended), *stray_events, *ended]:
         for action in gateway.handle(5 * SECOND, event):
             assert not isinstance(action, SendAttempt | Reject | Fail)
     assert not gateway.requests and not gateway.attempts_in_flight and gateway.endpoints.in_flight == 0
--- a/tests/test_leased_quota.py
+++ b/tests/test_leased_quota.py
@@ -1,4 +1,4 @@
-"""Customers of few gateways: leases by windows, corrections, and the counter's failures."""
+"""Quotas of customers with few gateways: leases per window, corrections, and failures of the counter."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     assert of(again, SendAttempt) and not of(again, AddToCounter)
 
 
-def test_units_leased_past_the_allowance_are_added_back() -> None:
+def test_units_leased_beyond_the_quota_are_subtracted_from_the_counter() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     counter.totals[counter_name(7, 0)] = 3.5  # another gateway took most of the burst of 4
     actions = settle(gateway, 0, arrival(1), counter)
@@ -37,22 +37,22 @@
 
 
 def test_two_gateways_share_one_burst() -> None:
-    one, two, counter = gateway_with_endpoints(), gateway_with_endpoints(), Counter()
+    first_gateway, second_gateway, counter = gateway_with_endpoints(), gateway_with_endpoints(), Counter()
     sent = 0
     for n in range(20):
-        sent += len(of(settle((one, two)[n % 2], 0, arrival(n), counter), SendAttempt))
-    assert 3 <= sent <= 4  # burst 4; a fraction may be stranded in a lease
+        sent += len(of(settle((first_gateway, second_gateway)[n % 2], 0, arrival(n), counter), SendAttempt))
+    assert 3 <= sent <= 4  # the burst is 4; a fraction of a request may remain unused in a lease
 
 
 def test_rejects_without_a_call_once_the_bucket_is_known_to_be_empty() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     for n in range(8):
         settle(gateway, 0, arrival(n), counter)
-    late = gateway.handle(0, arrival(9))
-    assert of(late, Reject) and not of(late, AddToCounter)
+    last_actions = gateway.handle(0, arrival(9))
+    assert of(last_actions, Reject) and not of(last_actions, AddToCounter)
 
 
-def test_unanswered_calls_leave_the_quota_over_the_gateway_count() -> None:
+def test_without_answers_each_gateway_admits_the_quota_divided_by_the_gateway_count() -> None:
     gateway = gateway_with_endpoints()
     sent = 0
     for n in range(40):
@@ -60,20 +60,20 @@
         for add in of(actions, AddToCounter):
             actions += gateway.handle(0, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 30_000))
         sent += len(of(actions, SendAttempt))
-    assert sent == 2  # burst 4 over two gateways
+    assert sent == 2  # a burst of 4 divided by two gateways
 
 
-def test_flushed_counter_admits_no_second_burst() -> None:
+def test_a_counter_that_lost_its_totals_admits_no_second_burst() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     sent = sum(len(of(settle(gateway, 0, arrival(n), counter), SendAttempt)) for n in range(8))
     counter.totals.clear()
     sent += sum(len(of(settle(gateway, 500_000, arrival(n), counter), SendAttempt)) for n in range(8, 16))
-    assert sent <= 5  # burst 4 and half a second at 2 a second
-    assert sum(counter.totals.values()) > 2  # what it forgot was put back
+    assert sent <= 5  # the burst of 4, and half a second at 2 a second
+    assert sum(counter.totals.values()) > 2  # the gateway has reported the lost units again
 
 
 @pytest.mark.parametrize("total", [float("nan"), float("inf"), -50.0, -1e30])
-def test_impossible_totals_admit_no_more_than_a_burst(total: float) -> None:
+def test_invalid_totals_of_the_counter_admit_at_most_a_burst(total: float) -> None:
     gateway = gateway_with_endpoints()
     sent = 0
     for n in range(30):
@@ -82,7 +82,7 @@
     assert sent <= 4
 
 
-def test_leased_units_and_a_full_bucket_are_one_burst() -> None:
+def test_leased_units_and_a_full_bucket_add_up_to_one_burst() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     settle(gateway, 0, arrival(1), counter)
     quota = gateway.admission.customers[7]
@@ -90,9 +90,9 @@
     assert quota.bucket.remaining(30 * SECOND) + quota.bucket.leased_units == pytest.approx(PLANS[0].burst)
 
 
-def test_leased_units_are_not_spent_again_while_the_counter_is_silent() -> None:
+def test_leased_units_are_not_spent_again_while_the_counter_does_not_answer() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
-    settle(gateway, 0, arrival(1, units=2.0), counter)  # its part of the burst of 4 over two gateways
+    settle(gateway, 0, arrival(1, units=2.0), counter)  # this gateway's share of the burst of 4
     gateway.admission.customers[7].bucket.leased_units = 0.0
     actions = gateway.handle(1, arrival(2))
     for add in of(actions, AddToCounter):
@@ -102,7 +102,7 @@
 
 def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
     gateway = gateway_with_endpoints()
-    for second, outcome in enumerate((Outcome.TIMEOUT, Outcome.REJECTED)):  # the second adds nothing
+    for second, outcome in enumerate((Outcome.TIMEOUT, Outcome.REJECTED)):  # a rejected call adds nothing
         (add,) = of(gateway.handle(second * SECOND, arrival(second)), AddToCounter)
         spent = gateway.handle(second * SECOND, CounterAnswered(add.name, outcome, 0.0, 90_000))
         assert of(spent, SendAttempt)
