--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -1,4 +1,4 @@
-"""How often a gateway calls the counter: timeouts, rejections, late and prompt answers."""
+"""The rate of calls to the counter after timeouts, rejections, and late, queued and prompt answers."""
 
 from __future__ import annotations
 
@@ -31,28 +31,30 @@
         adds += of(gateway.handle(0, arrival(n, customer=n)), AddToCounter)
     for add in adds:
         gateway.handle(0, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 30_000))
-    again = 0
-    for n in range(1000):  # a thousand customers in a second
-        again += len(of(gateway.handle(SECOND + n * 1000, arrival(100 + n, customer=100 + n)), AddToCounter))
-    assert len(adds) == 40 and 20 < again < 80
+    later_calls = 0
+    for n in range(1000):  # 1,000 customers in one second
+        later_calls += len(
+            of(gateway.handle(SECOND + n * 1000, arrival(100 + n, customer=100 + n)), AddToCounter)
+        )
+    assert len(adds) == 40 and 20 < later_calls < 80
 
 
-def test_rejected_calls_make_calls_rarer() -> None:
+def test_rejected_calls_reduce_the_rate_of_calls() -> None:
     def calls(rejected: int) -> int:
         gateway, counter = gateway_with_endpoints(), Counter()
         for n in range(rejected):
             for add in of(gateway.handle(0, arrival(n, customer=n + 100)), AddToCounter):
                 gateway.handle(0, CounterAnswered(add.name, Outcome.REJECTED, 0.0, 1000))
-        found = 0
+        call_count = 0
         for n in range(200):
-            new = arrival(1000 + n, customer=n)
-            found += len(of(settle(gateway, SECOND + n * 1000, new, counter), AddToCounter))
-        return found
+            new_arrival = arrival(1000 + n, customer=n)
+            call_count += len(of(settle(gateway, SECOND + n * 1000, new_arrival, counter), AddToCounter))
+        return call_count
 
     assert calls(8) < 0.8 * calls(0)
 
 
-def test_a_broken_connection_leaves_the_congestion_as_it_is() -> None:
+def test_a_broken_connection_does_not_change_the_congestion() -> None:
     gateway = gateway_with_endpoints()
     sent = 0
     for n in range(20):
@@ -61,10 +63,10 @@
         actions = gateway.handle(n * SECOND, CounterAnswered(add.name, Outcome.RESET, 0.0, 100))
         sent += len(of(actions, SendAttempt))
     assert gateway.admission.call_pacing.congestion == 1
-    assert sent == 20  # each from the local allowance
+    assert sent == 20  # all admitted by the local allowance
 
 
-def test_a_late_answer_makes_calls_rarer() -> None:
+def test_a_late_answer_raises_the_congestion() -> None:
     gateway = gateway_with_endpoints()
     (add,) = of(gateway.handle(0, arrival(1)), AddToCounter)
     gateway.handle(60_000, CounterAnswered(add.name, Outcome.OK, add.amount, 60_000))  # the timeout is 30 ms
@@ -73,11 +75,15 @@
 
 @pytest.mark.parametrize(("latency", "recovered"), [(3_000, True), (20_000, False)])
 def test_calls_recover_soon_after_an_outage_if_answers_are_prompt(latency: int, recovered: bool) -> None:
-    """Forty gateways went on with one call a second each for half a minute, though answers took a few ms."""
+    """Guards against slow recovery after an outage of the counter.
+
+    When a call's effect on the congestion did not depend on the current congestion, each of 40 gateways kept
+    to one call a second for half a minute after an outage, although answers took only a few ms.
+    """
     gateway = Gateway(settings(fleet_size=40), 1)
     gateway.admission.call_pacing.congestion = gateway.admission.call_pacing.max_congestion
     calls = []
-    for n in range(800):  # a hundred customers in a second
+    for n in range(800):  # 100 customers a second
         now = SECOND + n * 10_000
         for add in of(gateway.handle(now, arrival(n, customer=n)), AddToCounter):
             calls.append(now)
@@ -86,25 +92,25 @@
     assert calls_in_last_second > 20 if recovered else calls_in_last_second < 10
 
 
-def test_calls_of_one_gateway_of_a_large_fleet_are_few() -> None:
-    one, many = Gateway(settings(fleet_size=2), 1), Gateway(settings(fleet_size=300), 1)
+def test_a_gateway_of_a_large_fleet_calls_less_often_than_one_of_a_small_fleet() -> None:
+    of_small_fleet, of_large_fleet = Gateway(settings(fleet_size=2), 1), Gateway(settings(fleet_size=300), 1)
     calls = [0, 0]
     for n in range(1000):
-        for which, gateway in enumerate((one, many)):
-            calls[which] += len(of(gateway.handle(SECOND + n * 1000, arrival(n, customer=n)), AddToCounter))
-    assert calls[1] < 30 < calls[0]  # 64 in a timeout of 30 ms, by all gateways together
+        for index, gateway in enumerate((of_small_fleet, of_large_fleet)):
+            calls[index] += len(of(gateway.handle(SECOND + n * 1000, arrival(n, customer=n)), AddToCounter))
+    assert calls[1] < 30 < calls[0]  # all gateways together make 64 calls per timeout of 30 ms
 
 
 @pytest.mark.parametrize(
-    ("latency", "outcome", "least", "most"),
+    ("latency", "outcome", "min_calls", "max_calls"),
     [
-        (SECOND // 200, Outcome.OK, 140, 220),  # prompt: calls for nearly all
-        (SECOND // 50, Outcome.OK, 70, 125),  # queued: 10 a second, the part of one gateway of 200
-        (SECOND // 200, Outcome.REJECTED, 0, 30),  # rejected: ever fewer
+        (SECOND // 200, Outcome.OK, 140, 220),  # prompt: a call for nearly every request
+        (SECOND // 50, Outcome.OK, 70, 125),  # queued: 10 a second, the share of one gateway of 200
+        (SECOND // 200, Outcome.REJECTED, 0, 30),  # rejected: fewer and fewer calls
     ],
 )
-def test_a_gateway_of_a_large_fleet_calls_as_often_as_the_counter_answers_promptly(
-    latency: int, outcome: Outcome, least: int, most: int
+def test_a_gateway_of_a_large_fleet_calls_more_often_while_the_counter_answers_promptly(
+    latency: int, outcome: Outcome, min_calls: int, max_calls: int
 ) -> None:
     plan = Plan("mid", 2.0, burst=8.0)
     gateway = Gateway(settings(fleet_size=200, plans=(plan,)), 1)
@@ -112,7 +118,7 @@
     order = itertools.count()
     calls = 0
     events: list[tuple[int, int, Event]] = []
-    for number in range(400):  # 20 a second, each of another customer
+    for number in range(400):  # 20 requests a second, each from a different customer
         request = RequestArrived(number, 0, 0, number, 1.0, 3 * SECOND, 0, 150)
         heapq.heappush(events, (SECOND + number * SECOND // 20, next(order), request))
     while events:
@@ -125,4 +131,4 @@
                     heapq.heappush(events, (now + latency, next(order), answer))
                 case SetTimer(token, at):
                     heapq.heappush(events, (max(now, at), next(order), TimerFired(token)))
-    assert least <= calls <= most  # in ten seconds
+    assert min_calls <= calls <= max_calls  # in the last ten seconds
--- a/tests/test_decaying_count.py
+++ b/tests/test_decaying_count.py
@@ -1,4 +1,4 @@
-"""The decaying count of a customer's use by all its gateways."""
+"""The decaying count of the units that a customer uses through all its gateways."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 WINDOW = 2 * SECOND
 
 
-def test_use_and_leases_decay_by_e_in_a_window() -> None:
+def test_usage_and_leases_decay_by_a_factor_of_e_per_window() -> None:
     count = DecayingCount(capacity=4.0, window=WINDOW)
     count.usage = 3.0
     count.leased_units = 1.0
@@ -21,7 +21,7 @@
     assert count.leased_units == pytest.approx(1.0 / math.e)
 
 
-def test_a_clock_that_goes_back_leaves_the_count_as_it_is() -> None:
+def test_a_clock_that_goes_backwards_does_not_change_the_count() -> None:
     count = DecayingCount(capacity=4.0, window=WINDOW)
     count.decay_to(WINDOW)
     count.usage = 3.0
@@ -37,7 +37,7 @@
     assert [count.take_unreported(), count.take_unreported()] == [0.5, 0.0]
 
 
-def test_a_weight_grows_by_e_in_a_window_from_the_start_of_the_epoch() -> None:
+def test_weights_grow_by_a_factor_of_e_per_window_from_the_start_of_the_epoch() -> None:
     count = DecayingCount(capacity=4.0, window=WINDOW)
     now = 3 * EPOCH_WINDOWS * WINDOW + WINDOW
     assert count.epoch_number(now) == 3
--- a/tests/test_demand_rate.py
+++ b/tests/test_demand_rate.py
@@ -8,7 +8,7 @@
 from tests.helpers import SECOND
 
 
-def test_steady_demand_is_found_after_some_time_constants() -> None:
+def test_the_rate_converges_to_steady_demand_within_some_time_constants() -> None:
     demand = DemandRate(time_constant=2 * SECOND, now=0)
     for request in range(1, 201):
         elapsed_s = demand.record(request * SECOND // 10, units=0.5, is_retry=False)
@@ -16,7 +16,7 @@
     assert demand.rate == pytest.approx(5.0, rel=0.03)
 
 
-def test_retries_are_no_demand() -> None:
+def test_retries_do_not_count_as_demand() -> None:
     demand = DemandRate(time_constant=2 * SECOND, now=0)
     demand.record(SECOND, units=1.0, is_retry=True)
     assert demand.rate == 0.0
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Which further attempts are sent, and how long one is waited for."""
+"""Retries and hedging: which further attempts are sent, and the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -18,39 +18,42 @@
 from tests.helpers import CLASSES, SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
 
 
-def gateway(endpoint_count: int, **changes: object) -> Gateway:
-    made = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    made.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
-    return made
+def make_gateway(endpoint_count: int, **changes: object) -> Gateway:
+    new_gateway = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
+    new_gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
+    return new_gateway
 
 
 def actions_after_failure(latency: int) -> list[Action]:
-    """What is done when an attempt fails after `latency` of the 300 ms that its client waits."""
-    g = gateway(2)
+    """Returns the actions after an attempt that failed `latency` us after its start.
+
+    The client waits for 300 ms.
+    """
+    gateway = make_gateway(2)
     for n in range(5):
-        for sent in of(g.handle(n * SECOND, arrival(n)), SendAttempt):
-            g.handle(n * SECOND, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
-    (sent,) = of(g.handle(9 * SECOND, arrival(9, time_left=300_000)), SendAttempt)
+        for sent in of(gateway.handle(n * SECOND, arrival(n)), SendAttempt):
+            gateway.handle(n * SECOND, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
+    (sent,) = of(gateway.handle(9 * SECOND, arrival(9, time_left=300_000)), SendAttempt)
     ended = AttemptEnded(9, 0, sent.endpoint, Outcome.ERROR, latency, False)
-    return g.handle(9 * SECOND + latency, ended)
+    return gateway.handle(9 * SECOND + latency, ended)
 
 
-def test_no_retry_is_sent_that_cannot_end_in_time() -> None:
-    assert of(actions_after_failure(150_000), SendAttempt)  # answers usually take 100 ms
-    too_late = actions_after_failure(299_000)
-    assert not of(too_late, SendAttempt) and of(too_late, Reject)
+def test_no_retry_is_sent_without_enough_time_for_an_answer() -> None:
+    assert of(actions_after_failure(150_000), SendAttempt)  # the baseline latency is 100 ms
+    actions_near_deadline = actions_after_failure(299_000)
+    assert not of(actions_near_deadline, SendAttempt) and of(actions_near_deadline, Reject)
 
 
-def test_an_answer_is_waited_for_until_half_of_the_objective_has_passed() -> None:
-    g = gateway(1, limits={"may_hedge": False})
+def test_an_attempt_times_out_no_earlier_than_at_half_of_the_objective() -> None:
+    gateway = make_gateway(1, limits={"may_hedge": False})
     for n in range(4):
-        (sent,) = of(g.handle(n, arrival(n)), SendAttempt)
-        assert sent.timeout >= SECOND // 2  # a third cut off many an answer
-        g.handle(n, AttemptEnded(n, 0, 1, Outcome.OK, 20_000, True))
+        (sent,) = of(gateway.handle(n, arrival(n)), SendAttempt)
+        assert sent.timeout >= SECOND // 2  # a timeout at a third cut off many answers
+        gateway.handle(n, AttemptEnded(n, 0, 1, Outcome.OK, 20_000, True))
 
 
 def request_that_may_have_run(idempotency: Idempotency, scope: DeduplicationScope) -> Request:
-    """A request sent at 0 to an endpoint in zone 0 and cell 0; whether it ran there is unknown."""
+    """Returns a request sent at time 0 to an endpoint in zone 0 and cell 0, which may have executed it."""
     request_class = replace(
         CLASSES[0], idempotency=idempotency, deduplication_scope=scope, deduplication_window=SECOND
     )
@@ -75,7 +78,7 @@
         (Idempotency.WITH_KEY, DeduplicationScope.ALL, 0, 0, SECOND - 1000, False),
     ],
 )
-def test_what_may_have_run_is_sent_only_where_a_second_run_does_no_harm(
+def test_a_request_that_may_have_run_is_sent_again_only_where_a_second_run_does_no_harm(
     idempotency: Idempotency, scope: DeduplicationScope, zone: int, cell: int, now: int, expected: bool
 ) -> None:
     policy = RetryPolicy(settings(), SlowdownTracker(class_count=len(CLASSES), initial_limit=8.0))
@@ -87,7 +90,9 @@
 
 
 @pytest.mark.parametrize("may_hedge", [False, True])
-def test_an_attempt_in_flight_allows_a_hedged_one_elsewhere_only(may_hedge: bool) -> None:
+def test_a_second_attempt_in_flight_is_sent_only_with_hedging_and_to_another_endpoint(
+    may_hedge: bool,
+) -> None:
     slowdowns = SlowdownTracker(class_count=len(CLASSES), initial_limit=8.0)
     policy = RetryPolicy(settings(limits={"may_hedge": may_hedge}), slowdowns)
     request = request_that_may_have_run(Idempotency.IDEMPOTENT, DeduplicationScope.ALL)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -64,43 +64,47 @@
     """Thirty gateways had up to two requests' credit each: sixty attempts at one stroke."""
     at_once = 0
     for seed in range(30):
-        g = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
-        g.handle(SECOND, listed(*(endpoint_entry(n) for n in range(4)), endpoint_entry(9, started_at=SECOND)))
-        g.endpoints.candidates[9].in_flight = 1  # and more it may not have, while others go on
+        gateway = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
+        gateway.handle(
+            SECOND, listed(*(endpoint_entry(n) for n in range(4)), endpoint_entry(9, started_at=SECOND))
+        )
+        gateway.endpoints.candidates[9].in_flight = 1  # and more it may not have, while others go on
         for n in range(200):
             now = 2 * SECOND + n
-            for sent in of(g.handle(now, arrival(n)), SendAttempt):
-                g.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 9000, True))
-        g.endpoints.candidates[9].in_flight = 0
+            for sent in of(gateway.handle(now, arrival(n)), SendAttempt):
+                gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 9000, True))
+        gateway.endpoints.candidates[9].in_flight = 0
         for n in range(200, 205):
-            at_once += sum(sent.endpoint == 9 for sent in of(g.handle(3 * SECOND, arrival(n)), SendAttempt))
+            at_once += sum(
+                sent.endpoint == 9 for sent in of(gateway.handle(3 * SECOND, arrival(n)), SendAttempt)
+            )
     assert at_once < 15  # its share of the 150 requests is 8
 
 
 def test_requests_rejected_in_a_jam_before_the_start_earn_a_warming_endpoint_nothing() -> None:
     at_once = 0
     for seed in range(30):
-        g = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
-        g.handle(0, listed(*(endpoint_entry(n) for n in range(4))))
-        attempts = [sent for n in range(200) for sent in of(g.handle(n, arrival(n)), SendAttempt)]
-        g.handle(SECOND, listed(endpoint_entry(9, started_at=SECOND), kind=ListKind.DELTA))
+        gateway = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
+        gateway.handle(0, listed(*(endpoint_entry(n) for n in range(4))))
+        attempts = [sent for n in range(200) for sent in of(gateway.handle(n, arrival(n)), SendAttempt)]
+        gateway.handle(SECOND, listed(endpoint_entry(9, started_at=SECOND), kind=ListKind.DELTA))
         for sent in attempts:
-            g.handle(SECOND, AttemptEnded(sent.request, 0, sent.endpoint, Outcome.OK, 9000, True))
-        at_once += sum(sent.endpoint == 9 for sent in of(g.handle(SECOND, arrival(300)), SendAttempt))
+            gateway.handle(SECOND, AttemptEnded(sent.request, 0, sent.endpoint, Outcome.OK, 9000, True))
+        at_once += sum(sent.endpoint == 9 for sent in of(gateway.handle(SECOND, arrival(300)), SendAttempt))
     assert at_once < 6  # its share of the 30 requests is one or two
 
 
 def test_a_warming_endpoint_stays_inside_its_budget() -> None:
-    g = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
-    g.handle(0, listed(*(endpoint_entry(n) for n in range(1, 5))))
+    gateway = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
+    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 5))))
     now, sent_at = 0, []
     for n in range(4000):
         now += 5000  # 200 a second over four warm endpoints: 50 each
         if n == 2000:
-            g.handle(now, listed(endpoint_entry(9, started_at=now), kind=ListKind.DELTA))
-        for sent in of(g.handle(now, arrival(n)), SendAttempt):
+            gateway.handle(now, listed(endpoint_entry(9, started_at=now), kind=ListKind.DELTA))
+        for sent in of(gateway.handle(now, arrival(n)), SendAttempt):
             sent_at += [now] * (sent.endpoint == 9)
-            g.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
+            gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
     started_at = 2001 * 5000
     for at in sent_at:
         in_window = sum(1 for other in sent_at if at <= other < at + SECOND)
@@ -112,17 +116,17 @@
 def test_a_warming_endpoint_keeps_its_budget_before_hundreds_of_gateways() -> None:
     fleet = [Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), seed) for seed in range(200)]
     started_at, total = 10 * SECOND, 0
-    for g in fleet:
-        g.handle(0, listed(*(endpoint_entry(n) for n in range(1, 10))))
-        g.handle(started_at, listed(endpoint_entry(10, started_at=started_at), kind=ListKind.DELTA))
+    for gateway in fleet:
+        gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 10))))
+        gateway.handle(started_at, listed(endpoint_entry(10, started_at=started_at), kind=ListKind.DELTA))
     sent_at: list[int] = []
     for step in range(10):  # each gateway sends twice a second for five seconds: 40 a second to each endpoint
         now = started_at + step * SECOND // 2
-        for g in fleet:
-            for sent in of(g.handle(now, arrival(step)), SendAttempt):
+        for gateway in fleet:
+            for sent in of(gateway.handle(now, arrival(step)), SendAttempt):
                 total += 1
                 sent_at += [now] * (sent.endpoint == 10)
-                g.handle(now, AttemptEnded(step, 0, sent.endpoint, Outcome.OK, 100_000, True))
+                gateway.handle(now, AttemptEnded(step, 0, sent.endpoint, Outcome.OK, 100_000, True))
     for second in range(5):
         in_window = sum(1 for at in sent_at if second * SECOND <= at - started_at < (second + 1) * SECOND)
         assert in_window <= 2.0 * (0.2 + 0.08 * (second + 1)) * 40
@@ -130,12 +134,12 @@
 
 
 def test_a_fleet_that_is_warming_up_as_a_whole_is_used() -> None:
-    g = Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), 3)
-    g.handle(SECOND, listed(*(endpoint_entry(n, started_at=SECOND) for n in range(1, 5))))
+    gateway = Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), 3)
+    gateway.handle(SECOND, listed(*(endpoint_entry(n, started_at=SECOND) for n in range(1, 5))))
     total = 0
     for n in range(100):
         now = SECOND + n * 1000
-        for sent in of(g.handle(now, arrival(n)), SendAttempt):
+        for sent in of(gateway.handle(now, arrival(n)), SendAttempt):
             total += 1
-            g.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 9000, True))
+            gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 9000, True))
     assert 5 < total < 60
