--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency limits of an endpoint and of the fleet."""
+"""The adaptive concurrency limits of single endpoints and of the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return new_gateway
 
 
-def test_attempts_in_flight_at_an_endpoint_are_limited_and_the_limit_falls_with_late_answers() -> None:
+def test_attempts_in_flight_at_an_endpoint_are_limited_and_slow_answers_lower_the_limit() -> None:
     gateway = make_gateway(endpoint_entry(1))
     sent = sent_to(gateway, 0, range(100))
     assert 1 < len(sent) <= 16
@@ -24,7 +24,7 @@
     assert len(sent_to(gateway, 900_000, range(200, 300))) < len(sent) / 2
 
 
-def test_prompt_answers_raise_the_limit() -> None:
+def test_fast_answers_do_not_lower_the_limit() -> None:
     gateway = make_gateway(endpoint_entry(1))
     before = len(sent_to(gateway, 0, range(100)))
     for n in range(before):
@@ -32,19 +32,22 @@
     assert len(sent_to(gateway, 60_000, range(200, 300))) >= before
 
 
-def test_the_limit_of_a_warming_endpoint_grows_while_its_warm_fraction_is_used() -> None:
+def test_the_limit_of_a_warming_endpoint_grows_while_its_current_capacity_is_used() -> None:
     gateway = make_gateway(endpoint_entry(1), endpoint_entry(2, started_at=1))
     warming = gateway.endpoints.candidates[2]
     before = warming.concurrency_limit
     gateway.load_balancer.on_attempt_ended(warming, SECOND, 0, Outcome.OK, 50_000)
-    assert warming.concurrency_limit == before  # not used
+    assert warming.concurrency_limit == before  # its capacity was not in use
     warming.in_flight = 2
     gateway.load_balancer.on_attempt_ended(warming, SECOND, 0, Outcome.OK, 50_000)
     assert warming.concurrency_limit > before
 
 
 def test_the_limit_grows_on_answers_at_a_quarter_of_the_objective() -> None:
-    """With short objectives an idle endpoint's own work took a fifth of them, and limits sank to one."""
+    """Guards against too low a target latency.
+
+    With short objectives, the work of an idle endpoint took a fifth of the objective, and limits fell to 1.
+    """
     gateway = make_gateway(endpoint_entry(1))
     (endpoint,) = gateway.endpoints.candidates.values()
     endpoint.concurrency_limit, endpoint.in_flight = 2.0, 2
@@ -52,7 +55,7 @@
     assert endpoint.concurrency_limit > 2.0
 
 
-def test_many_gateways_together_do_not_jam_a_fleet_with_one_attempt_each() -> None:
+def test_many_gateways_do_not_overload_a_failing_fleet_with_one_attempt_per_endpoint_each() -> None:
     gateway = make_gateway(*(endpoint_entry(n) for n in range(1, 9)), fleet_size=16)
     for n in range(60):
         for sent in of(gateway.handle(n, arrival(n)), SendAttempt):
@@ -60,20 +63,23 @@
     assert 1 <= len(sent_to(gateway, 100, range(100, 200))) <= 4  # of eight endpoints, at sixteen gateways
 
 
-def sent_after_failures(lost: int) -> int:
-    """How many of 30 requests at once one of many gateways sends after `lost` of 20 answers were lost."""
+def sent_after_failures(timed_out_of_20: int) -> int:
+    """Returns how many of 30 simultaneous requests one of many gateways sends.
+
+    Before, `timed_out_of_20` of every 20 of its attempts timed out.
+    """
     gateway = make_gateway(
         *(endpoint_entry(n) for n in range(1, 21)), fleet_size=50, limits={"max_attempts": 1}
     )
     for n in range(300):
         for sent in of(gateway.handle(n * 200_000, arrival(n)), SendAttempt):
-            is_lost = n % 20 < lost
-            outcome = Outcome.TIMEOUT if is_lost else Outcome.OK
-            latency = 900_000 if is_lost else 250_000
+            has_timed_out = n % 20 < timed_out_of_20
+            outcome = Outcome.TIMEOUT if has_timed_out else Outcome.OK
+            latency = 900_000 if has_timed_out else 250_000
             gateway.handle(n * 200_000, AttemptEnded(n, 0, sent.endpoint, outcome, latency, True))
     return len(sent_to(gateway, 61 * SECOND, range(1000, 1030)))
 
 
-def test_a_jam_holds_a_gateway_to_few_attempts_and_some_lost_answers_do_not() -> None:
-    assert 1 <= sent_after_failures(lost=18) <= 2
-    assert 2 < sent_after_failures(lost=3) <= sent_after_failures(lost=0)
+def test_many_timeouts_limit_a_gateway_to_one_or_two_attempts_and_some_timeouts_do_not() -> None:
+    assert 1 <= sent_after_failures(timed_out_of_20=18) <= 2
+    assert 2 < sent_after_failures(timed_out_of_20=3) <= sent_after_failures(timed_out_of_20=0)
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -1,4 +1,4 @@
-"""Slowdowns of endpoints and their averages."""
+"""The slowdowns of endpoints and their averages by request class."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def lowest_mean(tracker: SlowdownTracker) -> float:
-    """The lowest mean slowdown of the classes that have a baseline, worked out anew."""
+    """Computes the lowest mean slowdown of the classes that have a baseline."""
     averages = zip(tracker.mean_slowdowns, tracker.baseline_latencies, strict=True)
     return min((mean for mean, baseline in averages if baseline), default=1.0)
 
@@ -39,7 +39,7 @@
     assert tracker.lowest_mean_slowdown == 3.0
 
 
-def test_a_failure_counts_as_a_slow_answer_of_its_class() -> None:
+def test_a_failure_counts_as_a_slow_answer_of_its_class_only() -> None:
     tracker, endpoint = make_tracker(), make_endpoint()
     tracker.record(endpoint, 0, 0, Outcome.ERROR, 1000)
     assert 1.0 < tracker.slowdown(endpoint, 0, 0) < FAILURE_SLOWDOWN
@@ -47,7 +47,9 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.RESET])
-def test_an_unreachable_endpoint_is_slow_for_all_classes_until_that_fades(outcome: Outcome) -> None:
+def test_an_unreachable_endpoint_counts_as_slow_for_all_classes_until_the_slowdown_decays(
+    outcome: Outcome,
+) -> None:
     tracker, endpoint = make_tracker(), make_endpoint()
     tracker.record(endpoint, 0, 0, outcome, 1000)
     assert [tracker.slowdown(endpoint, n, 0) for n in range(CLASS_COUNT)] == [UNREACHABLE_SLOWDOWN] * 2
@@ -55,7 +57,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT])
-def test_outcomes_that_say_nothing_of_speed_count_nothing(outcome: Outcome) -> None:
+def test_outcomes_without_information_on_latency_are_ignored(outcome: Outcome) -> None:
     tracker, endpoint = make_tracker(), make_endpoint()
     tracker.record(endpoint, SECOND, 0, outcome, 1000)
     assert tracker.mean_slowdowns == [1.0] * CLASS_COUNT and endpoint.last_outcome_at == 0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,9 @@
 from tests.helpers import settings
 
 
-@pytest.mark.parametrize("broken", [{"classes": ()}, {"fleet_size": 0}, {"limits": {"max_attempts": 0}}])
-def test_invalid_settings_are_rejected(broken: dict[str, object]) -> None:
-    with pytest.raises(ValueError, match=next(iter(broken))):
-        Gateway(settings(**broken), 1)
+@pytest.mark.parametrize(
+    "invalid_setting", [{"classes": ()}, {"fleet_size": 0}, {"limits": {"max_attempts": 0}}]
+)
+def test_invalid_settings_are_rejected(invalid_setting: dict[str, object]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid_setting))):
+        Gateway(settings(**invalid_setting), 1)
--- a/tests/test_simulator_decoder.py
+++ b/tests/test_simulator_decoder.py
@@ -1,4 +1,4 @@
-"""The records of a batch, and frames that do not follow the format."""
+"""The decoding of a batch's records, and frames that do not conform to the wire format."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return message
 
 
-def test_every_event_record() -> None:
+def test_every_event_record_is_decoded() -> None:
     arrived = record(5, "IHHfffIQH", 8, 1, 6, 2.0, 3.0, 4.0, 900, 1 << 32, 2)
     assert decode_one(CONTEXT, arrived) == RequestArrived(8, 2, 1, 1 << 32, 2.0, 900, 3, 4, True)
     ended = record(11, "IH6sHIBHHB4f", 8, 1, ENDPOINT, 408, 70, 1, 0, 3, 2, 0.5, 4.0, 9.0, 9.0)
@@ -56,21 +56,23 @@
     assert listing == EndpointsListed(ListKind.CACHED, 17, (entry,))
 
 
-def test_pages_are_resolved_in_order_and_outlive_a_batch() -> None:
+def test_pages_are_resolved_in_order_and_remain_valid_in_later_batches() -> None:
     other_endpoint = b"\x01\x02\x03\x04\x05\x06"
     other_entry = ENTRY[:16] + other_endpoint + ENTRY[22:]
     pages = [record(8, "BII", 0, offset, 1) for offset in (0, 24)]
-    use = record(13, "BQB", 3, 1, 0)
+    list_page_0 = record(13, "BQB", 3, 1, 0)
     decoder = BatchDecoder()
-    messages = decoder.decode(batch(pages[0], CONTEXT, use, pages[1], use, tail=ENTRY + other_entry)).messages
+    messages = decoder.decode(
+        batch(pages[0], CONTEXT, list_page_0, pages[1], list_page_0, tail=ENTRY + other_entry)
+    ).messages
     ids = [message.endpoints[0].id for _, message in messages if isinstance(message, EndpointsListed)]
     assert ids == [ENDPOINT_ID, int.from_bytes(other_endpoint, "little")]
-    (later,) = decoder.decode(batch(CONTEXT, use)).messages
-    assert later[1] == messages[1][1]
+    (later_message,) = decoder.decode(batch(CONTEXT, list_page_0)).messages
+    assert later_message[1] == messages[1][1]
 
 
 @pytest.mark.parametrize(
-    ("body", "words"),
+    ("body", "named_part"),
     [
         (b"short", "batch header"),
         (batch()[:8] + struct.pack("<II", 9, 0), "9 records"),
@@ -85,6 +87,6 @@
         (batch(record(8, "BII", 0, 0, 1), tail=b"\7" + ENTRY[1:]), "Page.mode"),
     ],
 )
-def test_malformed_frames_are_named(body: bytes, words: str) -> None:
-    with pytest.raises(WireError, match=words):
+def test_errors_about_malformed_frames_name_the_malformed_part(body: bytes, named_part: str) -> None:
+    with pytest.raises(WireError, match=named_part):
         BatchDecoder().decode(body)
--- a/tests/test_simulator_encoder.py
+++ b/tests/test_simulator_encoder.py
@@ -1,4 +1,4 @@
-"""The records of a reply."""
+"""The encoding of a reply's records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.simulator_frames import ENDPOINT, ENDPOINT_ID, framed
 
 
-def test_every_action_record() -> None:
+def test_every_action_record_is_encoded() -> None:
     actions: list[Action] = [
         SendAttempt(8, ENDPOINT_ID, 90),
         Reject(8, 5),
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting: the parts, what a gateway keeps of a long list, what a change of it costs."""
+"""Deterministic subsetting: the parts of a list, a gateway's candidates, and the cost of a list change."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     ("fleet_size", "ready"),
     [(FLEET_SIZE, ENDPOINT_COUNT), (300, 20_000), (40, 3000), (40, 60), (10, 5000)],
 )
-def test_in_each_group_of_gateways_every_endpoint_is_preferred_once_and_candidate_equally_often(
+def test_in_each_group_of_gateways_every_endpoint_is_preferred_once_and_a_candidate_equally_often(
     fleet_size: int, ready: int
 ) -> None:
     any_subset = assign_subset(0, fleet_size, ready)
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("fleet_size", [1, 3, 7, 16, 200])
 @pytest.mark.parametrize("ready", [0, 1, 14, 60, 95, 96, 1023])
-def test_all_of_a_list_of_hundreds_are_candidates_and_groups_have_eight_gateways(
+def test_all_endpoints_of_a_short_list_are_candidates_and_groups_have_eight_gateways(
     fleet_size: int, ready: int
 ) -> None:
     parts = 1
@@ -73,9 +73,9 @@
     assert subset.subset_group == (fleet_size - 1) // 8
 
 
-def test_a_subset_of_a_long_list_is_resized_only_when_the_count_has_changed_for_good() -> None:
+def test_a_subset_of_a_long_list_is_resized_only_when_the_count_falls_below_the_hysteresis() -> None:
     subset = assign_subset(GATEWAY_INDEX, FLEET_SIZE, ENDPOINT_COUNT)
-    threshold = subset.preferred_parts * MIN_PREFERRED_WIDE  # the least endpoints for so many parts
+    threshold = subset.preferred_parts * MIN_PREFERRED_WIDE  # endpoints needed for this number of parts
     changes = 0
     for ready in [threshold + 1, threshold - 1] * 20 + [int(threshold * RESIZE_HYSTERESIS) + 1]:
         resized = assign_subset(GATEWAY_INDEX, FLEET_SIZE, ready, subset)
@@ -83,14 +83,14 @@
         subset = resized
     assert not changes
     restarted = assign_subset(GATEWAY_INDEX, FLEET_SIZE, threshold - 1)
-    assert restarted.preferred_parts < subset.preferred_parts  # it goes by the count that it finds
+    assert restarted.preferred_parts < subset.preferred_parts  # without a current subset, no hysteresis
     halved = assign_subset(GATEWAY_INDEX, FLEET_SIZE, int(threshold * RESIZE_HYSTERESIS) - 1, subset)
     assert halved.preferred_parts == subset.preferred_parts // 2
 
 
 def gateway_of_fleet(fleet_size: int, seed: int = 1) -> Gateway:
-    made = settings(fleet_size=fleet_size, gateway_index=GATEWAY_INDEX, plans=UNLIMITED_PLANS)
-    return Gateway(made, seed)
+    fleet_settings = settings(fleet_size=fleet_size, gateway_index=GATEWAY_INDEX, plans=UNLIMITED_PLANS)
+    return Gateway(fleet_settings, seed)
 
 
 def gateway_with_list(endpoint_count: int, fleet_size: int = FLEET_SIZE) -> Gateway:
@@ -99,7 +99,7 @@
     return gateway
 
 
-def test_one_of_thousands_of_gateways_has_hundreds_of_candidates_and_prefers_some_dozens() -> None:
+def test_one_of_thousands_of_gateways_has_hundreds_of_candidates_and_prefers_dozens_of_them() -> None:
     gateway = gateway_with_list(ENDPOINT_COUNT)
     preferred = {endpoint.entry.id for endpoint in gateway.endpoints.preferred.members}
     candidates = set(gateway.endpoints.candidates)
@@ -113,7 +113,7 @@
 
 
 def change_cost(endpoint_count: int) -> float:
-    """The least seconds of CPU for one change of a candidate."""
+    """Returns the minimum CPU time, in seconds, that a gateway takes for a change of one candidate."""
     gateway = gateway_with_list(endpoint_count)
     candidate = next(iter(gateway.endpoints.candidates))
     costs = []
@@ -125,27 +125,30 @@
     return min(costs)
 
 
-def test_a_change_costs_no_more_in_a_list_of_thirty_times_the_length() -> None:
-    """One endpoint's change was a pass over all: 282 ms at 90,000."""
+def test_the_cost_of_a_change_does_not_grow_with_the_length_of_the_list() -> None:
+    """Guards against a pass over the whole list for one changed endpoint, which took 282 ms at 90,000."""
     assert change_cost(30_000) < 5 * change_cost(1000)
 
 
-def test_the_pooled_limit_goes_by_all_endpoints_and_not_by_the_candidates() -> None:
-    told_all = gateway_with_list(9000, 700)
-    told_part = gateway_of_fleet(700)
-    candidates = tuple(endpoint_entry(n) for n in told_all.endpoints.candidates)
-    told_part.handle(0, EndpointsListed(ListKind.FULL, 1, candidates, ready_total=9000))
+def test_the_pooled_limit_depends_on_all_ready_endpoints_and_not_on_the_candidates() -> None:
+    with_full_list = gateway_with_list(9000, 700)
+    with_partial_list = gateway_of_fleet(700)
+    candidates = tuple(endpoint_entry(n) for n in with_full_list.endpoints.candidates)
+    with_partial_list.handle(0, EndpointsListed(ListKind.FULL, 1, candidates, ready_total=9000))
     assert len(candidates) < 3000
-    assert told_part.endpoints.candidates.keys() == told_all.endpoints.candidates.keys()
-    for gateway in (told_all, told_part):
+    assert with_partial_list.endpoints.candidates.keys() == with_full_list.endpoints.candidates.keys()
+    for gateway in (with_full_list, with_partial_list):
         sent = [n for n in range(1000) if of(gateway.handle(1, arrival(n)), SendAttempt)]
-        assert len(sent) > 90  # half of 16 / 700 of 9,000; of the candidates it would be a few
-    part_preferred, all_preferred = told_part.endpoints.preferred, told_all.endpoints.preferred
-    assert part_preferred.positions.keys() == all_preferred.positions.keys()
+        assert len(sent) > 90  # the limit is half of 16 / 700 of 9,000 endpoints; by candidates, only a few
+    preferred_of_partial_list, preferred_of_full_list = (
+        with_partial_list.endpoints.preferred,
+        with_full_list.endpoints.preferred,
+    )
+    assert preferred_of_partial_list.positions.keys() == preferred_of_full_list.positions.keys()
 
 
 class EntryChange(NamedTuple):
-    """An entry of a list or a change."""
+    """An entry of a full list or a delta."""
 
     id: int
     state: EndpointState
@@ -153,9 +156,9 @@
 
 
 class ListEvent(NamedTuple):
-    """A whole list or a change of it."""
+    """A full list or a delta."""
 
-    is_whole: bool
+    is_full: bool
     entries: list[EntryChange]
 
 
@@ -169,11 +172,11 @@
     "MIN_PREFERRED_WIDE": 3,
     "MIN_CANDIDATES": 6,
     "RESIZE_HYSTERESIS": 1.0,
-}  # so that a list of some dozens is split like a long one
+}  # with these, a list of a few dozen endpoints is split like a long one
 
 
 def assert_consistent(endpoints: EndpointSet) -> None:
-    """Both candidate sets know the positions of their members."""
+    """Checks that both candidate sets know the positions of their members."""
     for members in (endpoints.ready, endpoints.preferred):
         assert len(members) == len(members.positions)
         for number, position in members.positions.items():
@@ -182,7 +185,7 @@
 
 @hypothesis_settings(max_examples=60, deadline=None)
 @given(st.lists(LIST_EVENTS, min_size=1, max_size=12))
-def test_any_order_of_lists_and_changes_leaves_what_the_last_list_told_anew_would(
+def test_any_sequence_of_lists_and_deltas_has_the_same_result_as_one_full_list(
     events: list[ListEvent],
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
@@ -192,16 +195,16 @@
         expected: dict[int, ListedEndpoint] = {}
         for event in events:
             entries = [endpoint_entry(entry.id, entry.state, entry.started_at) for entry in event.entries]
-            changed.handle(0, listed(*entries, kind=ListKind.FULL if event.is_whole else ListKind.DELTA))
-            expected = ({} if event.is_whole else expected) | {entry.id: entry for entry in entries}
+            changed.handle(0, listed(*entries, kind=ListKind.FULL if event.is_full else ListKind.DELTA))
+            expected = ({} if event.is_full else expected) | {entry.id: entry for entry in entries}
             expected = {n: entry for n, entry in expected.items() if entry.state is not REMOVED}
         fresh.handle(0, listed(*expected.values()))
-    ours, theirs = changed.endpoints, fresh.endpoints
-    assert ours.listed_endpoints == theirs.listed_endpoints == expected
-    assert ours.ready_total == theirs.ready_total
-    assert ours.subset == theirs.subset
-    our_entries = {n: endpoint.entry for n, endpoint in ours.candidates.items()}
-    assert our_entries == {n: endpoint.entry for n, endpoint in theirs.candidates.items()}
-    assert ours.ready.positions.keys() == theirs.ready.positions.keys()
-    assert ours.preferred.positions.keys() == theirs.preferred.positions.keys()
-    assert_consistent(ours)
+    actual_set, expected_set = changed.endpoints, fresh.endpoints
+    assert actual_set.listed_endpoints == expected_set.listed_endpoints == expected
+    assert actual_set.ready_total == expected_set.ready_total
+    assert actual_set.subset == expected_set.subset
+    actual_entries = {n: endpoint.entry for n, endpoint in actual_set.candidates.items()}
+    assert actual_entries == {n: endpoint.entry for n, endpoint in expected_set.candidates.items()}
+    assert actual_set.ready.positions.keys() == expected_set.ready.positions.keys()
+    assert actual_set.preferred.positions.keys() == expected_set.preferred.positions.keys()
+    assert_consistent(actual_set)
