--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -21,7 +21,7 @@
 
 from quota_ingress.policy.actions import Action, AddToCounter, SetTimer
 from quota_ingress.policy.call_pacing import CallPacing
-from quota_ingress.policy.counted_quota import WIDE_CUSTOMER_GATEWAYS, CountedQuota
+from quota_ingress.policy.counted_quota import MAX_LEASED_QUOTA_GATEWAYS, CountedQuota
 from quota_ingress.policy.customer_quota import CustomerQuota, Decision
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.events import NEVER_RAN, CounterAnswered, RequestArrived
@@ -90,7 +90,7 @@
         return quota
 
     def _new_quota(self, plan: Plan, gateway_count: int, now: int) -> CustomerQuota:
-        if gateway_count <= WIDE_CUSTOMER_GATEWAYS:
+        if gateway_count <= MAX_LEASED_QUOTA_GATEWAYS:
             return LeasedQuota(plan, gateway_count, self.retry_after, now)
         return CountedQuota(
             plan,
@@ -117,14 +117,14 @@
         quota = request.quota
         now = self._requests.now
         if quota.plan.max_in_flight and quota.in_flight >= quota.plan.max_in_flight:
-            self._reject_or_defer(request)
+            self._handle_over_quota(request)
             return
         match quota.assess(request, now, self.call_pacing, answered):
             case Decision.ADMIT:
                 if self._requests.send(request):
                     quota.spend(request.event.units)
             case Decision.OVER_QUOTA:
-                self._reject_or_defer(request)
+                self._handle_over_quota(request)
             case Decision.WITHOUT_COUNTER:
                 self._admit_without_counter(request)
             case Decision.DEFER:
@@ -145,15 +145,15 @@
         if self._rng.random() >= fraction:
             # The draw uses up the units: a second draw for them would raise the probability of admission.
             quota.local_allowance.units -= units * fraction
-            self._reject_or_defer(request)
+            self._handle_over_quota(request)
         elif self._requests.send(request):
             quota.spend_without_counter(now, units)
 
-    def _reject_or_defer(self, request: Request) -> None:
+    def _handle_over_quota(self, request: Request) -> None:
         """Rejects a request over its quota, with Retry-After if the borrowing ring has capacity.
 
-        If the plan earns more than it costs beyond the quota, the request is sent instead while the fleet has
-        spare capacity.
+        If the plan earns more beyond the quota than that costs, and the fleet has spare capacity, the request
+        is sent instead.
         """
         plan = request.quota.plan
         if plan.over_quota_earnings > plan.over_quota_cost and self._fleet_usage() < OPTIONAL_WORK_MAX_USAGE:
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -23,14 +23,14 @@
     LeaseStatistics,
     counter_name,
 )
-from quota_ingress.policy.quota_state import NEVER, QuotaState
+from quota_ingress.policy.quota_state import NEVER_ANSWERED, QuotaState
 from quota_ingress.policy.settings import Plan
 from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
 
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
 
-WIDE_CUSTOMER_GATEWAYS = 12  # a customer with more gateways than this has a counted quota
+MAX_LEASED_QUOTA_GATEWAYS = 12  # customers with more gateways have a counted quota
 MIN_RETENTION = 60 * SECOND  # us
 MAX_LEASE_FRACTION = 0.25  # of the available units: the most that one gateway leases in advance
 MAX_DEFER_FRACTION = 0.1  # of the latency objective: the longest wait for a call to the counter
@@ -67,7 +67,7 @@
         self._statistics = statistics
         self._plan_leases = statistics.by_plan[plan]
         self.count = DecayingCount(plan.burst, self.window)
-        self.last_answer_at = NEVER
+        self.last_answer_at = NEVER_ANSWERED
         self.lease_success_rate: float | None = None  # fraction of leases that were granted units
 
     def assess(self, request: Request, now: int, pacing: CallPacing, answered: bool) -> Decision:
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -142,8 +142,8 @@
         quota = request.quota
         if not self.retry_policy.has_attempt_left(request, self.now):
             return None
-        is_limited = quota.plan.ceiling_rate and not request.attempts
-        if is_limited and quota.ceiling.units < request.event.units:
+        ceiling_applies = quota.plan.ceiling_rate and not request.attempts
+        if ceiling_applies and quota.ceiling.units < request.event.units:
             return None  # the hard ceiling applies even to units that the counter has granted
         return self.load_balancer.choose(
             self.now,
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
 
-NEVER = -60 * SECOND  # us; before any event of the process
+NEVER_ANSWERED = -60 * SECOND  # us; a last answer before any event of the process
 
 
 class QuotaState:
@@ -160,7 +160,7 @@
             unreported_units=0.0,
             leased_units=self.bucket.leased_units,
             refill_rate=self.refill_rate,
-            last_answer_at=NEVER,
+            last_answer_at=NEVER_ANSWERED,
             demand_rate=self.demand.rate,
             demand_at=self.demand.updated_at,
             ceiling_allowance=self.ceiling.units,
--- a/tests/test_counted_quota.py
+++ b/tests/test_counted_quota.py
@@ -29,7 +29,7 @@
     beyond_quota: int
 
 
-def wide_gateway(fleet_size: int = FLEET_SIZE, **changes: object) -> Gateway:
+def gateway_of_large_fleet(fleet_size: int = FLEET_SIZE, **changes: object) -> Gateway:
     return gateway_with_endpoints(endpoint_count=20, fleet_size=fleet_size, **changes)
 
 
@@ -45,7 +45,7 @@
 
     The requests arrive at random times (`mean_gap` in us apart), each at a random gateway.
     """
-    fleet = [wide_gateway() for _ in range(FLEET_SIZE)]
+    fleet = [gateway_of_large_fleet() for _ in range(FLEET_SIZE)]
     counter = Counter()
     rng = random.Random(5)
     sent = [0, 0]
@@ -89,7 +89,7 @@
 
 
 def test_after_a_pause_a_customer_gets_exactly_its_burst_again() -> None:
-    fleet = [wide_gateway() for _ in range(FLEET_SIZE)]
+    fleet = [gateway_of_large_fleet() for _ in range(FLEET_SIZE)]
     counter = Counter()
     sent = []
     for start in (SECOND, 31 * SECOND):  # one request at each gateway, all at the same time
@@ -101,7 +101,7 @@
 
 
 def test_a_request_is_deferred_until_the_counter_may_be_called() -> None:
-    gateway, counter = wide_gateway(), Counter()
+    gateway, counter = gateway_of_large_fleet(), Counter()
     set_pacing(gateway, next_call_at=SECOND + 50_000, congestion=8.0)
     actions = gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE))
     (timer,) = of(actions, SetTimer)
@@ -112,14 +112,14 @@
 
 
 def test_a_request_deferred_too_long_is_decided_without_the_counter() -> None:
-    gateway = wide_gateway()
+    gateway = gateway_of_large_fleet()
     set_pacing(gateway, next_call_at=60 * SECOND, congestion=8.0)
     assert not of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), SendAttempt)
     assert of(gateway.handle(SECOND + MAX_DEFER, TimerFired(1)), SendAttempt)
 
 
 def test_calls_to_a_congested_counter_are_reserved_for_customers_without_recent_rejections() -> None:
-    gateway = wide_gateway()
+    gateway = gateway_of_large_fleet()
     (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
     gateway.handle(SECOND, CounterAnswered(call.name, Outcome.OK, EXHAUSTED, 1000))
     now = 30 * SECOND  # 15 windows later the count has decayed, but the customer's success rate is still low
@@ -131,7 +131,7 @@
 
 
 def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
-    gateway = wide_gateway()
+    gateway = gateway_of_large_fleet()
     (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
     gateway.handle(SECOND, CounterAnswered(call.name, Outcome.TIMEOUT, 0.0, 30_000))  # admitted locally
     assert gateway.attempts_in_flight
@@ -142,13 +142,13 @@
 
 
 def test_without_a_counter_a_customers_first_request_is_sent_and_the_next_is_not() -> None:
-    gateway = wide_gateway(fleet_size=100, counter=CounterLimits(False))
+    gateway = gateway_of_large_fleet(fleet_size=100, counter=CounterLimits(False))
     assert of(gateway.handle(0, arrival(1, gateway_count=100)), SendAttempt)
     assert of(gateway.handle(1000, arrival(2, gateway_count=100)), Reject)
 
 
 def test_without_a_counter_a_retry_is_not_admitted_as_a_first_request() -> None:
-    gateway = wide_gateway(fleet_size=100, counter=CounterLimits(False))
+    gateway = gateway_of_large_fleet(fleet_size=100, counter=CounterLimits(False))
     sent = 0
     for n in range(100):
         event = arrival(n, customer=n, gateway_count=100, is_retry=True)
@@ -158,7 +158,7 @@
 
 def corrected_leases(uncounted: int) -> int:
     """Returns how many of 200 rejected leases are corrected after `uncounted` requests bypass the counter."""
-    gateway = wide_gateway()
+    gateway = gateway_of_large_fleet()
     now = SECOND
     for n in range(uncounted):
         set_pacing(gateway, next_call_at=60 * SECOND)
@@ -182,7 +182,7 @@
 
 
 def test_without_the_counter_a_new_customer_is_admitted_by_the_success_rate_of_its_plan() -> None:
-    gateway = wide_gateway()
+    gateway = gateway_of_large_fleet()
     for n in range(30):  # the first leases of 30 customers of the plan are rejected
         set_pacing(gateway, next_call_at=0)
         (call,) = of(gateway.handle(SECOND, arrival(n, customer=n, gateway_count=FLEET_SIZE)), AddToCounter)
--- a/tests/test_customer_quota.py
+++ b/tests/test_customer_quota.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quota_ingress.policy.counted_quota import WIDE_CUSTOMER_GATEWAYS, CountedQuota
+from quota_ingress.policy.counted_quota import MAX_LEASED_QUOTA_GATEWAYS, CountedQuota
 from quota_ingress.policy.lease import LeaseStatistics
 from quota_ingress.policy.leased_quota import LeasedQuota
 from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
@@ -49,7 +49,7 @@
 
 
 def new_quota(gateway_count: int) -> LeasedQuota | CountedQuota:
-    if gateway_count <= WIDE_CUSTOMER_GATEWAYS:
+    if gateway_count <= MAX_LEASED_QUOTA_GATEWAYS:
         return LeasedQuota(PLANS[0], gateway_count, SECOND, 0)
     statistics = LeaseStatistics(PLANS)
     return CountedQuota(PLANS[0], gateway_count, SECOND, 0, counter_allowed=True, statistics=statistics)
@@ -63,8 +63,8 @@
 @pytest.mark.parametrize(
     ("gateway_count", "kept_fields"),
     [
-        (WIDE_CUSTOMER_GATEWAYS, COMMON_FIELDS | LEASED_QUOTA_FIELDS),
-        (WIDE_CUSTOMER_GATEWAYS + 1, COMMON_FIELDS | COUNTED_QUOTA_FIELDS),
+        (MAX_LEASED_QUOTA_GATEWAYS, COMMON_FIELDS | LEASED_QUOTA_FIELDS),
+        (MAX_LEASED_QUOTA_GATEWAYS + 1, COMMON_FIELDS | COUNTED_QUOTA_FIELDS),
     ],
 )
 def test_each_kind_hands_over_the_state_that_it_restored(
@@ -78,7 +78,7 @@
     assert quota.hand_over(customer=7, plan=0) == replace(handed_over, **FIELDS_AFTER_HAND_OVER)
 
 
-@pytest.mark.parametrize("gateway_count", [1, WIDE_CUSTOMER_GATEWAYS, WIDE_CUSTOMER_GATEWAYS + 1, 40])
+@pytest.mark.parametrize("gateway_count", [1, MAX_LEASED_QUOTA_GATEWAYS, MAX_LEASED_QUOTA_GATEWAYS + 1, 40])
 def test_the_kind_of_quota_depends_on_the_number_of_gateways(gateway_count: int) -> None:
     gateway = gateway_with_endpoints(fleet_size=40)
     gateway.handle(0, arrival(1, gateway_count=gateway_count))
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -93,7 +93,7 @@
 
 
 def test_subsets_are_assigned_by_hash_key_and_not_by_id() -> None:
-    """Guards against subsets by id, which would differ: every ingress process assigns ids of its own."""
+    """Guards against subsets by id, which would differ: every ingress process assigns its own ids."""
     first = Gateway(settings(fleet_size=40, plans=UNLIMITED_PLANS), 3)
     second = Gateway(settings(fleet_size=40, plans=UNLIMITED_PLANS), 3)
     first.handle(0, listed(*(endpoint_entry(n, hash_key=1000 + n) for n in range(1, 61))))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -100,9 +100,9 @@
         self.requests: dict[int, ObservedRequest] = {}
         self.calls: list[PendingCall] = []
         self.timers: list[SetTimer] = []
-        self.play(listed(*(endpoint_entry(n) for n in self.cells)))
+        self.feed(listed(*(endpoint_entry(n) for n in self.cells)))
 
-    def play(self, event: Event) -> None:
+    def feed(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
             self.check(action)
 
@@ -134,11 +134,11 @@
         assert self.may_hedge or not in_flight, "two attempts in flight without hedging"
         runs = [request.attempts[n] for n in numbers if request.may_have_run(n)]
         if runs:
-            self.check_second_run(request.request_class, runs[0], action.endpoint)
+            self.check_repeated_run(request.request_class, runs[0], action.endpoint)
         request.attempts.append(ObservedAttempt(action.endpoint, self.now, action.timeout))
         assert len(request.attempts) <= MAX_ATTEMPTS
 
-    def check_second_run(self, request_class: RequestClass, first: ObservedAttempt, endpoint: int) -> None:
+    def check_repeated_run(self, request_class: RequestClass, first: ObservedAttempt, endpoint: int) -> None:
         idempotency = request_class.idempotency
         assert idempotency is not Idempotency.NOT_IDEMPOTENT, "request that is not idempotent sent again"
         if idempotency is Idempotency.WITH_KEY:
@@ -153,7 +153,7 @@
         elif choice == 6:
             number = self.rng.choice(list(self.states))
             self.states[number] = self.rng.choice([READY, READY, DRAINING, REMOVED])
-            self.play(listed(endpoint_entry(number, self.states[number]), kind=ListKind.DELTA))
+            self.feed(listed(endpoint_entry(number, self.states[number]), kind=ListKind.DELTA))
         elif choice == 7 and self.calls:
             self.answer_call(self.rng.choice([Outcome.OK, Outcome.OK, Outcome.REJECTED]))
         else:
@@ -166,7 +166,7 @@
         plan = self.rng.randrange(4)
         customer = self.rng.randrange(4)
         self.requests[number] = ObservedRequest(CLASSES[request_class], self.now + time_left)
-        self.play(
+        self.feed(
             arrival(number, request_class=request_class, plan=plan, customer=customer, time_left=time_left)
         )
 
@@ -187,11 +187,11 @@
         request.outcomes[attempt] = outcome
         request.answers += outcome is Outcome.OK and not request.answers
         latency = self.now - sent.sent_at
-        self.play(AttemptEnded(number, attempt, sent.endpoint, outcome, latency, request.answers > 0))
+        self.feed(AttemptEnded(number, attempt, sent.endpoint, outcome, latency, request.answers > 0))
 
     def answer_call(self, outcome: Outcome) -> None:
         call = self.calls.pop(0).call
-        self.play(CounterAnswered(call.name, outcome, self.rng.choice([0.0, 1.0, 3.0, 9.0, -4.0]), 900))
+        self.feed(CounterAnswered(call.name, outcome, self.rng.choice([0.0, 1.0, 3.0, 9.0, -4.0]), 900))
 
     def advance(self, duration: int) -> None:
         end = self.now + duration
@@ -205,12 +205,12 @@
                         self.end_attempt(number, attempt, Outcome.TIMEOUT)
             for timer in [timer for timer in self.timers if timer.at <= self.now]:
                 self.timers.remove(timer)
-                self.play(TimerFired(timer.token))
+                self.feed(TimerFired(timer.token))
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.integers(0, 10**6), st.booleans(), st.lists(st.integers(0, 9), min_size=20, max_size=120))
-def test_rules_hold(seed: int, may_hedge: bool, choices: list[int]) -> None:
+def test_safety_rules_hold_for_random_events(seed: int, may_hedge: bool, choices: list[int]) -> None:
     checker = RuleChecker(seed, may_hedge)
     for choice in choices:
         checker.step(choice)
@@ -269,11 +269,11 @@
 def test_load_reports_with_invalid_values_raise_no_error() -> None:
     checker = RuleChecker(1, may_hedge=True)
     checker.requests[1] = ObservedRequest(CLASSES[0], 3 * SECOND)
-    checker.play(arrival(1, plan=2))
+    checker.feed(arrival(1, plan=2))
     endpoint = checker.requests[1].attempts[0].endpoint
     load = (float("nan"), float("inf"), -3.0)
-    checker.play(AttemptEnded(1, 0, endpoint, Outcome.OK, 5, True, load))
-    checker.play(AttemptEnded(1, 0, endpoint, Outcome.OK, 5, True, load))
+    checker.feed(AttemptEnded(1, 0, endpoint, Outcome.OK, 5, True, load))
+    checker.feed(AttemptEnded(1, 0, endpoint, Outcome.OK, 5, True, load))
 
 
 @pytest.mark.parametrize(
