--- a/quota_ingress/policy/endpoint_list.py
+++ b/quota_ingress/policy/endpoint_list.py
@@ -31,7 +31,7 @@
     state: EndpointState
     zone: int
     cell: int
-    kind: int
+    kind: int  # machine type
     weight: float
     started_at: int  # us; 0: started long ago, warmed up
     hash_key: int = 0  # for subsetting, equal at every gateway; 0: the id is used
--- a/quota_ingress/simulator/wire.py
+++ b/quota_ingress/simulator/wire.py
@@ -111,7 +111,7 @@
     ActionCode.SPEAKING: _action_layout("I"),  # instance
 }
 
-ENTRY_LAYOUT = struct.Struct("<BHBQf6sH")  # state, cell, zone, start time, weight, endpoint, machine kind
+ENTRY_LAYOUT = struct.Struct("<BHBQf6sH")  # state, cell, zone, start time, weight, endpoint, machine type
 
 OUTCOMES = {
     200: Outcome.OK,
