--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -31,7 +31,7 @@
 from quota_ingress.policy.settings import Plan, Settings
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-OPTIONAL_WORK_MAX_USAGE = 0.6  # fraction of the fleet's capacity in use, above which no optional work is sent
+OPTIONAL_WORK_MAX_USAGE = 0.6  # of all endpoints' capacity in use; from there on, no optional work is sent
 
 
 class RequestLifecycle(Protocol):
@@ -57,7 +57,7 @@
         self,
         settings: Settings,
         rng: random.Random,
-        fleet_usage: Callable[[], float],
+        endpoint_utilization: Callable[[], float],
         requests: RequestLifecycle,
     ) -> None:
         """Creates a controller without customers.
@@ -65,12 +65,12 @@
         Args:
             settings: The gateway's settings.
             rng: The gateway's source of random numbers.
-            fleet_usage: Returns the fraction of the fleet's capacity that is in use.
+            endpoint_utilization: Returns the fraction of all endpoints' capacity that is in use.
             requests: Forwards and answers requests once admission has decided on them.
         """
         self._settings = settings
         self._rng = rng
-        self._fleet_usage = fleet_usage
+        self._endpoint_utilization = endpoint_utilization
         self._requests = requests
         self._statistics = LeaseStatistics(settings.plans)
         self.customers: dict[int, CustomerQuota] = {}
@@ -152,11 +152,14 @@
     def _handle_over_quota(self, request: Request) -> None:
         """Rejects a request over its quota, with Retry-After if the borrowing ring has capacity.
 
-        If the plan earns more beyond the quota than that costs, and the fleet has spare capacity, the request
-        is sent instead.
+        If the plan earns more beyond the quota than that costs, and the endpoints have spare capacity, the
+        request is sent instead.
         """
         plan = request.quota.plan
-        if plan.over_quota_earnings > plan.over_quota_cost and self._fleet_usage() < OPTIONAL_WORK_MAX_USAGE:
+        if (
+            plan.over_quota_earnings > plan.over_quota_cost
+            and self._endpoint_utilization() < OPTIONAL_WORK_MAX_USAGE
+        ):
             self._requests.send(request)
         else:
             retry_after = request.quota.book_retry(self._requests.now, request.event.units)
--- a/quota_ingress/policy/concurrency_limit.py
+++ b/quota_ingress/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency: how many attempts may be in flight at an endpoint, and at the fleet as a whole.
+"""Adaptive concurrency: how many attempts may be in flight at an endpoint, and at all endpoints together.
 
 Limits rise while they are used and latency stays well within the objective, and fall otherwise (additive
 increase, bounded decrease). This handles overloaded, slow and thrashing endpoints. Its drawback: an endpoint
@@ -29,13 +29,13 @@
 
 
 class ConcurrencyLimits:
-    """One gateway's limit for the whole fleet; the limit of a single endpoint is kept in its `Endpoint`."""
+    """One gateway's limit for all endpoints together; an endpoint's own limit is kept in its `Endpoint`."""
 
     def __init__(self, initial_limit: float, slowdowns: SlowdownTracker) -> None:
         """Starts from `initial_limit`, this gateway's share of INITIAL_FLEET_LIMIT, in attempts."""
         self.initial_limit = initial_limit
         self.minimum = min(1.0, initial_limit / 4)  # of an endpoint's limit
-        self.fleet_headroom = 0.0  # attempts that the fleet has proved able to take above the initial limit
+        self.fleet_headroom = 0.0  # attempts above the initial limit that have proved to be possible
         self._slowdowns = slowdowns
 
     def pooled_limit(self, ready: Sequence[Endpoint], ready_total: int) -> float:
@@ -58,5 +58,5 @@
         endpoint.concurrency_limit = max(self.minimum, endpoint.concurrency_limit + step)
 
     def adjust_headroom(self, step: float) -> None:
-        """Changes the headroom of the fleet by `step` attempts."""
+        """Changes `fleet_headroom` by `step` attempts, down to 0."""
         self.fleet_headroom = max(0.0, self.fleet_headroom + step)
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -218,7 +218,7 @@
         self._answer(request, Reject(request_id) if is_harmless_to_repeat(request) else Fail(request_id))
 
     def _on_timer(self, token: int) -> None:
-        """Decides on a deferred request again, or hedges a sent one while the fleet has spare capacity."""
+        """Decides on a deferred request again, or hedges a sent one while endpoints have spare capacity."""
         request = self.requests.get(token)
         if request is None:
             return
--- a/quota_ingress/policy/load_balancer.py
+++ b/quota_ingress/policy/load_balancer.py
@@ -18,14 +18,14 @@
 from quota_ingress.policy.events import Outcome
 from quota_ingress.policy.settings import Settings
 
-SAMPLE_SIZE = 16  # endpoints considered per attempt; covers all endpoints of a small fleet
+SAMPLE_SIZE = 16  # endpoints considered per attempt; covers all endpoints of a short list
 LOAD_REPORT_LIFETIME = SECOND  # us; older load reports are ignored
 LOAD_FIELDS = ("queue", "inflight", "util")  # fields of a load report that grow with an endpoint's load
 MAX_REPORTED_LOAD = 1e6
 MIN_WEIGHT = 1e-3  # lower weights of endpoints count as this
 OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, where cross-zone traffic has a price
 BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit in use, from which on good answers raise the limit
-BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise the fleet's headroom
+BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise `fleet_headroom`
 
 
 class LoadBalancer:
--- a/quota_ingress/policy/slow_start.py
+++ b/quota_ingress/policy/slow_start.py
@@ -12,7 +12,7 @@
 
 SLOW_START_BUDGET_FRACTION = 0.8  # of the overload budget: work varies by request, list delays by gateway
 TOLERATED_SLOWDOWN = 2.0  # times the mean; warming endpoints are slower, and get fewer requests beyond this
-DEFERRED_REQUEST_WEIGHT = 0.5  # of a sent one: at twice the fleet's capacity, 1 would use up the whole budget
+DEFERRED_REQUEST_WEIGHT = 0.5  # of a sent one: at twice the capacity, a weight of 1 would use up the budget
 
 
 class SlowStart:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -48,10 +48,10 @@
     assert list(gateway.admission.customers) == [99]
 
 
-def test_over_quota_requests_are_sent_if_the_plan_pays_and_the_fleet_has_spare_capacity() -> None:
+def test_over_quota_requests_are_sent_if_the_plan_pays_and_endpoints_have_spare_capacity() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     sent = sum(len(of(settle(gateway, 0, arrival(n, plan=1), counter), SendAttempt)) for n in range(40))
-    assert 4 < sent <= 20  # beyond the burst of 4, but only up to 0.6 of the fleet's capacity of 4 * 8
+    assert 4 < sent <= 20  # beyond the burst of 4, but only up to 0.6 of the endpoints' capacity of 4 * 8
 
 
 def test_attempts_in_flight_are_limited_by_the_plan() -> None:
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive concurrency limits of single endpoints and of the fleet."""
+"""The adaptive concurrency limits of single endpoints and of all endpoints together."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     assert endpoint.concurrency_limit > 2.0
 
 
-def test_many_gateways_do_not_overload_a_failing_fleet_with_one_attempt_per_endpoint_each() -> None:
+def test_many_gateways_do_not_overload_failing_endpoints_with_one_attempt_each() -> None:
     gateway = make_gateway(*(endpoint_entry(n) for n in range(1, 9)), fleet_size=16)
     for n in range(60):
         for sent in of(gateway.handle(n, arrival(n)), SendAttempt):
