--- a/quota_ingress/net/engine/__init__.py
+++ b/quota_ingress/net/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and timers: events to the policy, its actions carried out."""
+"""The engine: passes events to the policy and executes its actions on requests, attempts and timers."""
--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts from the policy's wish to their outcome: permission, deadline, exchange, result."""
+"""Runs attempts: checks the send rules, sets the timeout, performs the exchange and reports the outcome."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from quota_ingress.net.engine.attempts import Attempt
 from quota_ingress.net.engine.ports import AttemptResult, Loop, Upstream
 from quota_ingress.net.engine.requests import Request
-from quota_ingress.net.engine.send_rules import FORESEEABLE, Denial, denial
+from quota_ingress.net.engine.send_rules import PREDICTABLE_DENIALS, Denial, denial
 from quota_ingress.net.engine.settings_index import SettingsIndex
 from quota_ingress.net.event_log import EventLog
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, StreamStarted
 from quota_ingress.policy.settings import Idempotency, Settings
 
-RESPONSE_MARGIN = 15_000  # us before the client's deadline by which no attempt is waited for any longer
+RESPONSE_MARGIN = 15_000  # us before the client's deadline at which attempts time out
 US_PER_SECOND = 1e6
 
 
 class RequestOwner(Protocol):
-    """Who owns the requests whose attempts are run."""
+    """The owner of the requests whose attempts are run."""
 
     def post(self, event: Event) -> None:
-        """Hands an event to the policy."""
+        """Passes an event to the policy."""
 
     def mark_answered(self, request: Request) -> None:
-        """The request has its final answer: nothing more is owed to its client."""
+        """Marks a request as having its final answer; nothing more is sent to its client."""
 
     def check_disconnected(self, request: Request) -> None:
-        """Looks whether the client has left, and if so ends the request."""
+        """Ends the request if its client has disconnected."""
 
 
 class AttemptRunner:
-    """Runs attempts on the upstream client, within the rules of `send_rules`."""
+    """Runs attempts on the upstream client where `send_rules` allows them."""
 
     def __init__(
         self,
@@ -54,12 +54,12 @@
         self._event_log = event_log
 
     def begin(self, request: Request, endpoint: int, timeout: int) -> None:
-        """Begins an attempt at `endpoint` that is waited for `timeout` us; 0: until the client's deadline."""
+        """Begins an attempt at `endpoint` that times out after `timeout` us; 0: at the client's deadline."""
         now = self._now()
         attempt = Attempt(len(request.attempts), endpoint, now)
         self._owner.check_disconnected(request)
         parsed = request.parsed
-        time_left = parsed.timeout if request.body_coming else request.deadline - now
+        time_left = parsed.timeout if request.receiving_body else request.deadline - now
         time_left -= RESPONSE_MARGIN
         attempt.response_timeout = min(timeout, time_left) if timeout else time_left
         request.attempts.append(attempt)
@@ -67,34 +67,34 @@
         if self._is_denied(request, attempt, now):
             self.end(request, attempt, AttemptResult(Outcome.NOT_SENT))
             return
-        if not request.body_coming:
+        if not request.receiving_body:
             self.start_timer(request, attempt)
-        body_is_held = parsed.body.complete and not parsed.body.is_long
+        body_is_buffered = parsed.body.complete and not parsed.body.is_long
         request_class = self.settings.classes[parsed.request_class]
         attempt.exchange = self._upstream.send(
             endpoint,
             parsed.head,
             lambda result: self.end(request, attempt, result),
             request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
-            None if body_is_held else parsed.body,
-            lambda result: self._on_response_started(request, attempt, result),
-            lambda: self._permit(request, attempt),
+            None if body_is_buffered else parsed.body,
+            lambda result: self._on_stream_started(request, attempt, result),
+            lambda: self._authorize(request, attempt),
         )
 
     def cancel(self, request: Request, number: int) -> None:
-        """Stops the attempt `number` of a request if it is in flight."""
+        """Cancels attempt `number` of a request if it is in flight."""
         if number >= len(request.attempts):
             return
         self._abort(request, request.attempts[number], Outcome.CANCELLED)
 
     def withdraw_unwritten(self, request: Request) -> None:
-        """Ends those attempts of a request that have not been written; the others go on."""
+        """Ends the attempts of a request that have not been written; the others continue."""
         for attempt in _in_flight(request):
             if attempt.exchange and attempt.exchange.withdraw():
                 self.end(request, attempt, AttemptResult(Outcome.NOT_SENT))
 
     def abort_streaming(self, request: Request) -> None:
-        """Ends the attempt whose response is passed on, as nobody reads it any more."""
+        """Cancels the attempt whose response is being streamed to a client that has disconnected."""
         for attempt in _in_flight(request):
             if attempt.streaming:
                 if attempt.exchange:
@@ -102,19 +102,19 @@
                 self.end(request, attempt, AttemptResult(Outcome.CANCELLED))
 
     def abort_waiting_for_body(self, request: Request) -> None:
-        """Ends the attempts that wait for the rest of a body that will not come."""
+        """Cancels the attempts that wait for the rest of a request body that will not be received."""
         for attempt in _in_flight(request):
             if not attempt.streaming and attempt.exchange:
                 attempt.exchange.abort()
                 self.end(request, attempt, AttemptResult(Outcome.CANCELLED))
 
     def start_timer(self, request: Request, attempt: Attempt) -> None:
-        """Lets the time for the attempt's response run."""
+        """Starts the attempt's response timeout."""
         delay = attempt.response_timeout / US_PER_SECOND
         attempt.timer = self._loop.call_later(delay, self._on_timeout, request, attempt)
 
     def end(self, request: Request, attempt: Attempt, result: AttemptResult) -> None:
-        """Takes in the result of an attempt, once, and tells the policy."""
+        """Ends an attempt with its result and notifies the policy; does nothing if it has already ended."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -139,18 +139,18 @@
         )
         self._owner.post(event)
 
-    def _permit(self, request: Request, attempt: Attempt) -> bytes | None:
-        """Returns what is written behind the head: the time left from now on, and a body that is held.
+    def _authorize(self, request: Request, attempt: Attempt) -> bytes | None:
+        """Returns the data written after the head: the time left from now on, and a buffered body.
 
-        Returns None if the attempt may not begin any more.
+        Returns None if the attempt may no longer begin.
         """
         now = self._now()
         self._owner.check_disconnected(request)
         if self._is_denied(request, attempt, now):
             return None
         body = request.parsed.body
-        waited = 0 if request.body_coming else now - attempt.sent_at
-        time_left = attempt.response_timeout - waited
+        elapsed = 0 if request.receiving_body else now - attempt.sent_at
+        time_left = attempt.response_timeout - elapsed
         self._event_log.event(
             "attempt",
             "begun",
@@ -159,11 +159,11 @@
             backend=attempt.backend,
             timeout_us=time_left,
         )
-        held = bytes(body.data) if body.complete and not body.is_long else b""
-        return b"Request-Timeout: %dm\r\n\r\n%b" % (max(1, time_left // 1000), held)
+        buffered_body = bytes(body.data) if body.complete and not body.is_long else b""
+        return b"Request-Timeout: %dm\r\n\r\n%b" % (max(1, time_left // 1000), buffered_body)
 
     def _is_denied(self, request: Request, attempt: Attempt, now: int) -> bool:
-        waiting_since = now if request.body_coming else attempt.sent_at
+        waiting_since = now if request.receiving_body else attempt.sent_at
         reason = denial(
             request,
             attempt,
@@ -176,18 +176,21 @@
             return False
         if reason is Denial.REQUEST_ANSWERED and request.client.disconnected():
             reason = Denial.CLIENT_DISCONNECTED
-        if reason in FORESEEABLE:
+        if reason in PREDICTABLE_DENIALS:
             self._event_log.violation(f"attempt: {reason.value}", id=request.parsed.id, n=attempt.number)
         self._event_log.event("denied", reason.value, id=request.parsed.id, n=attempt.number)
         return True
 
-    def _on_response_started(self, request: Request, attempt: Attempt, result: AttemptResult) -> None:
-        """From here on no other attempt can answer, and no deadline holds."""
+    def _on_stream_started(self, request: Request, attempt: Attempt, result: AttemptResult) -> None:
+        """Streams the response to the client.
+
+        From here on no other attempt can answer the request, and its deadline no longer applies.
+        """
         if attempt.timer:
             attempt.timer.cancel()
         if request.answered or attempt.ended:
             if result.stream:
-                result.stream.release()  # nobody is there to read it
+                result.stream.release()  # frees the buffer: no client reads it
             if attempt.exchange:
                 attempt.exchange.abort()
             self.end(request, attempt, AttemptResult(Outcome.CANCELLED))
@@ -201,16 +204,16 @@
     def _on_timeout(self, request: Request, attempt: Attempt) -> None:
         self._abort(request, attempt, Outcome.TIMEOUT)
 
-    def _abort(self, request: Request, attempt: Attempt, outcome_if_run: Outcome) -> None:
+    def _abort(self, request: Request, attempt: Attempt, outcome_if_written: Outcome) -> None:
         if not attempt.ended and attempt.exchange:
             may_have_run = attempt.exchange.abort()
-            outcome = outcome_if_run if may_have_run else Outcome.CONNECT_FAILED
+            outcome = outcome_if_written if may_have_run else Outcome.CONNECT_FAILED
             self.end(request, attempt, AttemptResult(outcome))
 
     def _latency(self, request: Request, attempt: Attempt) -> int:
-        """Returns us of the endpoint's own work, which begins with the request's last byte."""
-        begun_at = max(attempt.sent_at, request.body_complete_at or attempt.sent_at)
-        return max(0, self._now() - begun_at)
+        """Returns the attempt's latency in us, without the time spent waiting for the request's last byte."""
+        started_at = max(attempt.sent_at, request.body_complete_at or attempt.sent_at)
+        return max(0, self._now() - started_at)
 
 
 def _in_flight(request: Request) -> list[Attempt]:
--- a/quota_ingress/net/engine/attempts.py
+++ b/quota_ingress/net/engine/attempts.py
@@ -1,20 +1,20 @@
-"""One attempt of a request at an endpoint, as the engine keeps it."""
+"""The state of one attempt of a request at an endpoint."""
 
 from __future__ import annotations
 
 from quota_ingress.net.engine.ports import Exchange, Timer
 from quota_ingress.policy.events import NEVER_RAN, Outcome
 
-NOT_STARTED = -1  # latency of an attempt whose response has not begun
+NOT_STARTED = -1  # latency of an attempt whose response is not being streamed
 
 
 class Attempt:
-    """One attempt. Moments are us of the process's clock.
+    """One attempt. Timestamps are us of the process's clock.
 
     Attributes:
-        response_timeout: us for a response, once the request's last byte is on its way.
-        latency: us until the response began, where it is passed on as it comes; else NOT_STARTED.
-        outcome: Is set once the attempt has ended.
+        response_timeout: us to wait for a response once the whole request body has been received.
+        latency: us until a streamed response began; otherwise NOT_STARTED.
+        outcome: Set once the attempt has ended; None before.
     """
 
     __slots__ = (
@@ -30,7 +30,7 @@
     )
 
     def __init__(self, number: int, backend: int, sent_at: int) -> None:
-        """Opens attempt `number` (from 0) of its request, at the endpoint numbered `backend`."""
+        """Creates attempt `number` (from 0) of a request, at the endpoint numbered `backend`."""
         self.number = number
         self.backend = backend
         self.sent_at = sent_at
@@ -43,12 +43,12 @@
 
     @property
     def streaming(self) -> bool:
-        """The response has begun, and is passed on as it comes."""
+        """Whether the response is being streamed to the client."""
         return self.latency >= 0
 
     @property
     def may_have_run(self) -> bool:
-        """The last byte may have been written, and no outcome has shown that the attempt never ran."""
+        """Whether the last byte may have been written and no outcome has shown that the attempt never ran."""
         if self.outcome is not None:
             return self.outcome not in NEVER_RAN
         return self.exchange is not None and self.exchange.written
--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that the policy is told of: this gateway's part of the list, and their numbers."""
+"""The endpoints that the policy knows: this gateway's subset of the list, each under a number."""
 
 from __future__ import annotations
 
@@ -19,32 +19,33 @@
 
 @dataclass(slots=True)
 class _Change:
-    """What one update changes of the endpoints that are told."""
+    """What one update changes in the subset."""
 
-    told: list[tuple[EndpointEntry, int]] = field(default_factory=list)  # entry and number
+    registered: list[tuple[EndpointEntry, int]] = field(default_factory=list)  # entry and number
     removed: list[int] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The policy's event for an update, and the numbers of the endpoints that are gone."""
+    """The policy's event for an update, and the numbers of the endpoints that have left the subset."""
 
     event: EndpointsListed
     removed: list[int]
 
 
 class EndpointRegistry:
-    """Keeps the directory of all endpoints, and numbers those of this gateway's subset for the policy.
+    """Keeps the directory of all endpoints, and assigns numbers to those in this gateway's subset.
 
     Attributes:
-        directory: All endpoints that are listed.
-        numbers: Number by name of those in the subset; a number is never used again.
-        subset: This gateway's part of the list.
-        restored_at: Returns the moment (us) at which operators put an endpoint back; 0: they have not.
+        directory: All listed endpoints.
+        numbers: Number by name of the endpoints in the subset; a number is never reused.
+        subset: This gateway's subset of the list.
+        restored_at: Returns the time (us of the process's clock) at which operators put the named endpoint
+            back into service; 0 if they have not.
     """
 
     def __init__(self, settings: Settings, index: SettingsIndex, upstream: Upstream) -> None:
-        """Starts empty; entries are registered with `upstream` before the policy hears of them."""
+        """Starts empty. Entries are registered with `upstream` before the policy is notified of them."""
         self.directory = EndpointDirectory()
         self.numbers: dict[str, int] = {}
         self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
@@ -58,11 +59,14 @@
 
     @property
     def any_ready(self) -> bool:
-        """Whether some endpoint would take a request."""
+        """Whether any endpoint in the subset accepts requests."""
         return bool(self._ready)
 
     def update(self, listing: EndpointList, kind: ListKind | None, now: int) -> EndpointUpdate:
-        """Takes in a list or a change of it at `now` (us); `kind` is by default what the list says."""
+        """Applies a snapshot or a delta of the endpoint list at `now` (us).
+
+        `kind` is reported to the policy; None stands for FULL for a snapshot and DELTA for a delta.
+        """
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.DELTA)
         self.directory.apply(listing)
         subset_before = self.subset
@@ -72,8 +76,8 @@
         change = _Change()
         for name in self._changed(listing, self.subset != subset_before):
             self._apply(name, change)
-        told = [*change.told, *self._older_than_told(change.told, now)]
-        listed = [self._listed_endpoint(entry, number, now) for entry, number in told]
+        entries = [*change.registered, *self._found_older(change.registered, now)]
+        listed = [self._listed_endpoint(entry, number, now) for entry, number in entries]
         if not listing.is_snapshot:
             listed += [_removed_endpoint(number) for number in change.removed]
         ready_total = self.directory.ready_count if self.subset.candidate_parts > 1 else 0
@@ -81,7 +85,7 @@
         return EndpointUpdate(event, change.removed)
 
     def _changed(self, listing: EndpointList, subset_changed: bool) -> Iterable[str]:
-        """Yields the names to look at; with another subset, those that enter or leave it after the others."""
+        """Yields the names to update; those that enter or leave because the subset has changed come last."""
         if listing.is_snapshot:
             yield from self.directory
             yield from [name for name in self.numbers if name not in self.directory]
@@ -91,9 +95,9 @@
             yield from [name for name in self.directory if self.in_subset(name) != (name in self.numbers)]
 
     def in_subset(self, name: str) -> bool:
-        """Returns whether the policy is told of the endpoint.
+        """Returns whether the endpoint belongs to this gateway's subset.
 
-        One that is draining is not taken in for its place in the subset, but stays where it was.
+        A draining endpoint does not enter a partial subset, but one that is already in it stays.
         """
         if name not in self.directory or not self.subset.is_candidate(hash_key(name)):
             return False
@@ -101,7 +105,7 @@
 
     def _apply(self, name: str, change: _Change) -> None:
         if self.in_subset(name):
-            change.told.append(self._register(name))
+            change.registered.append(self._register(name))
         elif number := self.numbers.pop(name, 0):
             change.removed.append(number)
             self._ready.discard(name)
@@ -120,19 +124,19 @@
             self._ready.discard(name)
         return entry, number
 
-    def _older_than_told(
-        self, told: list[tuple[EndpointEntry, int]], now: int
+    def _found_older(
+        self, registered: list[tuple[EndpointEntry, int]], now: int
     ) -> list[tuple[EndpointEntry, int]]:
-        """Returns the endpoints not in `told` that a later start shows to be older than they counted for."""
+        """Returns endpoints outside `registered` that the start times in it show to be older than assumed."""
         older: set[str] = set()
-        for entry, _ in told:
+        for entry, _ in registered:
             if entry.started_us != self.restored_at(entry.name):
                 older.update(self._start_times.observe(entry.started_us, now))
-        older -= {entry.name for entry, _ in told}
+        older -= {entry.name for entry, _ in registered}
         return [(self.directory[name], self.numbers[name]) for name in older if name in self.numbers]
 
     def _listed_endpoint(self, entry: EndpointEntry, number: int, now: int) -> ListedEndpoint:
-        started_at = entry.started_us  # of this process's clock already, where operators put it back
+        started_at = entry.started_us  # already on this process's clock if operators put the endpoint back
         if started_at != self.restored_at(entry.name):
             started_at = self._start_times.local_start(entry.name, entry.started_us, now)
         return ListedEndpoint(
@@ -148,7 +152,7 @@
 
 
 def hash_key(name: str) -> int:
-    """Returns a number that is the same at every ingress, and not 0."""
+    """Returns a nonzero hash of the name that is the same at every ingress."""
     return zlib.crc32(name.encode(errors="surrogatepass")) or 1
 
 
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -1,7 +1,7 @@
-"""The only caller of the policy: turns what happens into its events, and carries out its actions.
+"""The only caller of the policy: passes it events and executes its actions.
 
-It owns the requests, their attempts, deadlines and timers, and does for the policy what the simulator does.
-It needs no sockets itself.
+The engine owns the requests with their attempts, deadlines and timers. It serves the policy as the simulator
+does in a simulation, and uses no sockets itself.
 """
 
 from __future__ import annotations
@@ -45,21 +45,22 @@
 )
 from quota_ingress.policy.settings import Settings
 
-ANSWER_MARGIN = 10_000  # us before the client's deadline by which its answer is on the way
+ANSWER_MARGIN = 10_000  # us before the client's deadline at which an unanswered request fails
 US_PER_SECOND = 1e6
 
 log = logging.getLogger(__name__)
 
 
 class Engine:
-    """Carries out what the policy decides, and tells it what becomes of that.
+    """Executes the policy's actions and reports their results to it.
 
     Attributes:
-        in_flight: Requests that have no final answer yet.
-        ending: The process is about to end: new requests are rejected, as no answer would come in time.
-        counter: The client of the shared counter in force; None without one.
+        in_flight: The number of requests without a final answer.
+        shutting_down: Whether the process is about to end. New requests are rejected, as no response would
+            arrive in time.
+        counter: The client of the shared counter in use; None if there is none.
         attempt_runner: Runs the attempts of all requests.
-        endpoints: The endpoints that the policy is told of.
+        endpoints: The endpoints that the policy knows.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         self.event_log = event_log or EventLog()
         self.counter: CounterService | None = None
         self.in_flight = 0
-        self.ending = False
+        self.shutting_down = False
         self.attempt_runner = AttemptRunner(self, upstream, settings, index, loop, now, self.event_log)
         self.endpoints = EndpointRegistry(settings, index, upstream)
         self._policy = policy
@@ -91,23 +92,23 @@
 
     @property
     def directory(self) -> EndpointDirectory:
-        """All endpoints that are listed."""
+        """All listed endpoints, including those outside this gateway's subset."""
         return self.endpoints.directory
 
     @property
     def unfinished_count(self) -> int:
-        """Requests that are not forgotten: without an answer, or with an attempt in flight."""
+        """The number of requests that have no final answer or have an attempt in flight."""
         return len(self._requests)
 
     @property
     def can_send(self) -> bool:
-        """Whether some endpoint would take a request."""
+        """Whether any endpoint accepts requests."""
         return self.endpoints.any_ready
 
     # Events from clients.
 
     def on_request(self, parsed: ParsedRequest, client: Client) -> bool:
-        """Takes in a request; returns False if its id is taken."""
+        """Accepts a request. Returns False if its id is in use by another request."""
         now = self.now()
         if self._requests.is_duplicate(parsed.id, now):
             return False
@@ -115,7 +116,7 @@
         time_left = parsed.timeout - (waited if parsed.body.complete else 0)
         if reason := self._early_rejection(time_left):
             self.event_log.event("rejected", reason, id=parsed.id, left_us=time_left)
-            client.reject(0)  # nothing was sent: harmless, and the policy never hears of it
+            client.reject(0)  # the client may safely retry, as nothing was sent; the policy is not involved
             return True
         self.event_log.event("arrived", id=parsed.id, left_us=time_left, waited_us=waited)
         request = self._requests.add(parsed, client, now + time_left)
@@ -138,7 +139,7 @@
         return True
 
     def on_body_complete(self, request_id: bytes, received_at: int) -> None:
-        """Takes in that the last byte of a body that is forwarded as it comes came at `received_at` (us)."""
+        """Starts the deadline of a request whose streamed body became complete at `received_at` (us)."""
         request = self._requests.with_id(request_id)
         if request and not request.answered and request.body_complete_at is None:
             request.deadline = received_at + request.parsed.timeout
@@ -148,7 +149,7 @@
                     self.attempt_runner.start_timer(request, attempt)
 
     def on_disconnect(self, request_id: bytes) -> None:
-        """Takes in that the client of a request has left."""
+        """Ends the request of a client that has disconnected, or the streaming of its response."""
         request = self._requests.with_id(request_id)
         if request and not request.answered:
             self._end_disconnected(request)
@@ -156,32 +157,33 @@
             self.attempt_runner.abort_streaming(request)
 
     def check_disconnected(self, request: Request) -> None:
-        """Ends the request if its client has left.
+        """Ends the request if its client has disconnected.
 
-        Asked at the moment an attempt begins: none does once the client has left, though the loop may be late
-        to read its end, or does not read on while enough waits. A look costs a microsecond.
+        Called when an attempt begins, so that none begins after the client has disconnected: the event loop
+        may read the connection's end late, and reading is paused while enough requests wait. The check takes
+        about 1 us.
         """
         if not request.answered and request.client.disconnected():
             self._end_disconnected(request)
 
     def mark_answered(self, request: Request) -> None:
-        """Takes the request as over: its client has the final answer, or has left."""
+        """Marks a request as answered: its client has the final answer or has disconnected."""
         request.answered = True
         if request.timer:
             request.timer.cancel()
-        if request.body_coming:
+        if request.receiving_body:
             self.attempt_runner.abort_waiting_for_body(request)
         self.in_flight -= 1
 
     def fail_all(self) -> None:
-        """Fails all requests without an answer, and rejects new ones: the process is about to end."""
-        self.ending = True
+        """Fails all unanswered requests and rejects new ones, as the process is about to end."""
+        self.shutting_down = True
         for request in self._requests:
             self._on_deadline(request)
 
     def _early_rejection(self, time_left: int) -> str:
-        """Returns why a request is rejected before the policy hears of it; empty if it is not."""
-        if self.ending:
+        """Returns why a request is rejected without the policy; empty if the policy is to decide."""
+        if self.shutting_down:
             return "process ending"
         if time_left <= ANSWER_MARGIN:
             return "no time left"
@@ -197,7 +199,7 @@
     def _on_deadline(self, request: Request) -> None:
         if request.answered:
             return
-        reason = "process ending" if self.ending else "out of time"
+        reason = "process ending" if self.shutting_down else "out of time"
         self.event_log.event("ended", reason, id=request.parsed.id)
         self.mark_answered(request)
         request.client.fail(timed_out=True)
@@ -212,9 +214,9 @@
     # Events from discovery and from another process.
 
     def update_endpoints(self, listing: EndpointList, kind: ListKind | None = None) -> None:
-        """Takes in a list or a change of it; `kind` is by default what the list says.
+        """Applies a snapshot or a delta of the endpoint list; `kind` is as in `EndpointRegistry.update`.
 
-        The policy hears first, then attempts are withdrawn: what it sends anew goes by the new list.
+        The policy receives the new list before attempts are withdrawn, so that their retries use it.
         """
         update = self.endpoints.update(listing, kind, self.now())
         self._events.append(update.event)
@@ -222,28 +224,28 @@
         self._handle_events()
 
     def hand_over(self) -> dict[str, Any]:
-        """Returns what the policy has leased and learned, as a message for another process."""
+        """Returns the policy's leases and learned state as a message for the other process of an upgrade."""
         names = {number: name for name, number in self.endpoints.numbers.items()}
         return snapshot_codec.encode(self._policy.hand_over(), names)
 
     def restore(self, message: dict[str, Any]) -> None:
-        """Takes over what another process's policy had learned; nothing where any of it cannot be read."""
+        """Restores the state that another process handed over; a malformed message is ignored as a whole."""
         try:
             snapshot = snapshot_codec.decode(message, self.endpoints.numbers)
         except snapshot_codec.SnapshotError as error:
-            log.warning("upgrade: the other process's snapshot cannot be read: %s", error)
+            log.warning("upgrade: policy snapshot of the other process ignored: %s", error)
             return
         self._policy.restore(snapshot)
 
-    # Events to the policy, actions from it.
+    # Events to the policy and actions from it.
 
     def post(self, event: Event) -> None:
-        """Hands an event to the policy, after those that are already waiting."""
+        """Passes an event to the policy, after the events that are already queued."""
         self._events.append(event)
         self._handle_events()
 
     def _handle_events(self) -> None:
-        """What happens while actions are carried out waits its turn: the policy is never entered twice."""
+        """Handles the queued events; those posted during an action wait, as the policy is not reentrant."""
         if self._handling:
             return
         self._handling = True
@@ -256,13 +258,13 @@
     def _handle(self, event: Event) -> None:
         try:
             for action in self._policy.handle(self.now(), event):
-                self._carry_out(action)
-        except Exception:  # one event's failure must not end the process; deadlines answer the client
-            log.exception("while handling %s", type(event).__name__)
+                self._execute(action)
+        except Exception:  # must not end the process; an affected request fails at its deadline
+            log.exception("engine: failed to handle %s", type(event).__name__)
         if isinstance(event, AttemptEnded | RequestArrived | ClientDisconnected):
             self._requests.remove_if_finished(event.request)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SendAttempt():
                 self._send(action)
@@ -283,8 +285,8 @@
                 self.upstream.close_idle_connections(endpoint)
             case Log(text):
                 log.info("%s", text)
-            case _:  # the watch is always on, and real ingresses have no peers
-                log.debug("not for real ingresses: %s", action)
+            case _:  # polling of discovery and messages between gateways exist only in the simulator
+                log.debug("engine: action not supported outside the simulator: %s", action)
 
     def _send(self, action: SendAttempt) -> None:
         request = self._requests.get(action.request)
@@ -318,25 +320,25 @@
         self._requests.remove_if_finished(action.request)
 
     def on_timer(self, token: int) -> None:
-        """Takes in that a timer of the policy is due."""
+        """Notifies the policy that its timer `token` is due."""
         self.post(TimerFired(token))
 
     def _add_to_counter(self, action: AddToCounter) -> None:
         called_at = self.now()
 
-        def answered(outcome: Outcome, total: float) -> None:
+        def on_answer(outcome: Outcome, total: float) -> None:
             self.post(CounterAnswered(action.name, outcome, total, self.now() - called_at))
 
         if self.counter:
-            self.counter.add(action.name, action.amount, action.ttl, answered)
+            self.counter.add(action.name, action.amount, action.ttl, on_answer)
         else:
-            answered(Outcome.CONNECT_FAILED, 0.0)
+            on_answer(Outcome.CONNECT_FAILED, 0.0)
 
     def _probe(self, endpoint: int) -> None:
         sent_at = self.now()
 
-        def ended(result: AttemptResult) -> None:
+        def on_ended(result: AttemptResult) -> None:
             load = self.index.load(result.load) if result.load else ()
             self.post(ProbeAnswered(endpoint, result.outcome, self.now() - sent_at, load))
 
-        self.upstream.probe(endpoint, ended)
+        self.upstream.probe(endpoint, on_ended)
--- a/quota_ingress/net/engine/ports.py
+++ b/quota_ingress/net/engine/ports.py
@@ -1,4 +1,4 @@
-"""What the engine expects of those around it: the event loop, both sides of the network, and the counter."""
+"""The interfaces that the engine uses: policy, event loop, upstream client, counter and downstream client."""
 
 from __future__ import annotations
 
@@ -14,67 +14,70 @@
 
 
 class Policy(Protocol):
-    """The module that decides."""
+    """The policy: decides on admission, load balancing and retries."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Takes one event at the moment `now` (us), and returns what is to be done."""
+        """Processes one event at the time `now` (us) and returns the actions to execute."""
 
     def hand_over(self) -> PolicySnapshot:
-        """Returns what has been leased and learned, and gives it away."""
+        """Returns leases and learned state for another process; the leases are given up here."""
 
     def restore(self, snapshot: PolicySnapshot) -> None:
-        """Goes on with what another process gave away."""
+        """Takes over the leases and learned state that another process handed over."""
 
 
 class Timer(Protocol):
-    """A call that has been put off."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """It will not be made."""
+        """Cancels the callback."""
 
 
 class Loop(Protocol):
-    """What the engine needs of an event loop."""
+    """The part of an event loop that the engine uses."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
-        """Calls back after `delay` s."""
+        """Schedules `callback(*args)` after `delay` seconds."""
 
 
 class Exchange(Protocol):
-    """An attempt in flight, as the upstream client knows it."""
+    """An attempt in flight in the upstream client."""
 
-    written: bool  # its last byte may have been
+    written: bool  # the last byte of the request may have been written
 
     def abort(self) -> bool:
-        """Gives the attempt up. Returns whether it may have run: its last byte may have been written."""
+        """Aborts the attempt. Returns whether it may have run: its last byte may have been written."""
 
     def withdraw(self) -> bool:
-        """Gives the attempt up if its last byte has not been written, so that it never runs.
+        """Aborts the attempt if its last byte has not been written, so that it never runs.
 
-        Returns whether it did.
+        Returns whether it was aborted.
         """
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended; for OK, with the endpoint's response."""
+    """The outcome of an attempt; for Outcome.OK, with the endpoint's response."""
 
     outcome: Outcome
     body: bytes = b""
     content_type: bytes = b""
-    load: bytes = b""  # load report, as the endpoint wrote it
-    declared_length: bytes = b""  # Content-Length, as the endpoint's head has it
-    stream: Body | None = None  # the body as it comes, where it is too long to be held
+    load: bytes = b""  # load report as received, not yet parsed
+    declared_length: bytes = b""  # Content-Length as in the response head
+    stream: Body | None = None  # the body, where it is too long to buffer and is streamed
 
 
 class Upstream(Protocol):
     """The connections to endpoints."""
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
-        """Takes in an entry of the list, before the policy hears of it."""
+        """Adds or updates an entry of the endpoint list, before the policy is notified of it."""
 
-    def reconcile(self, gone: Iterable[int]) -> None:
-        """Closes and withdraws what the registered entries have made void; forgets the endpoints `gone`."""
+    def reconcile(self, removed: Iterable[int]) -> None:
+        """Closes connections and withdraws attempts that the registered entries rule out.
+
+        The endpoints `removed` are forgotten.
+        """
 
     def send(
         self,
@@ -90,13 +93,13 @@
 
         Args:
             backend: The endpoint's number.
-            head: The request's head but for its last lines.
-            on_ended: Is called once with the result.
-            non_idempotent: The request must not be written a second time, on another connection.
-            body: The request's body, where it is forwarded as it comes.
-            on_stream_started: Is called with a response that is streamed, before `on_ended`.
-            authorize: Is asked in the moment of the write, and returns the rest of the data, which depends on
-                that moment; None: the attempt may not begin any more, and ends as NOT_SENT.
+            head: The request's head without its last lines, which `authorize` returns.
+            on_ended: Called once with the result.
+            non_idempotent: The request must not be written a second time on another connection.
+            body: The request's body, if it is streamed; None if `authorize` returns it.
+            on_stream_started: Called with a streamed response when it begins, before `on_ended`.
+            authorize: Called immediately before the write. Returns the rest of the data, which depends on
+                the time of the write, or None if the attempt may no longer begin and ends as NOT_SENT.
         """
 
     def probe(self, backend: int, on_ended: Callable[[AttemptResult], None]) -> None:
@@ -106,30 +109,33 @@
         """Closes the idle connections to an endpoint."""
 
 
-Answered = Callable[[Outcome, float], None]
+OnAnswer = Callable[[Outcome, float], None]
 
 
 class CounterService(Protocol):
-    """The counter that all gateways share."""
+    """The client of the counter that all gateways share."""
 
-    def add(self, name: int, amount: float, ttl_us: int, answered: Answered) -> None:
-        """Adds `amount` units to a name, which lives for `ttl_us` if it is new, and tells the total."""
+    def add(self, name: int, amount: float, ttl_us: int, on_answer: OnAnswer) -> None:
+        """Adds `amount` units to a name, which expires after `ttl_us` if it is new.
+
+        `on_answer` is called with the outcome and, for Outcome.OK, the total under that name.
+        """
 
 
 class Client(Protocol):
-    """Who waits for a request's one final answer."""
+    """The client of a request, to which exactly one final answer is sent."""
 
     def disconnected(self) -> bool:
-        """Returns whether the client has left, as the socket tells: its end may be unread as yet."""
+        """Returns whether the client has closed its connection, also if the socket's end is still unread."""
 
-    def respond(self, answer: AttemptResult) -> None:
-        """Sends an endpoint's whole response."""
+    def respond(self, result: AttemptResult) -> None:
+        """Sends an endpoint's complete response."""
 
-    def stream_response(self, answer: AttemptResult) -> None:
-        """Sends a response that has begun, as its body comes; it may yet break."""
+    def stream_response(self, result: AttemptResult) -> None:
+        """Streams a response whose body is still being received and may be truncated."""
 
     def reject(self, retry_after: int) -> None:
-        """Sends a rejection: a new request after `retry_after` us (0: no advice) does no harm."""
+        """Sends a rejection: the client may safely retry after `retry_after` us (0: none is advised)."""
 
     def fail(self, timed_out: bool) -> None:
-        """Sends a failure, which promises nothing about effects."""
+        """Sends a failure: the request may or may not have taken effect."""
--- a/quota_ingress/net/engine/requests.py
+++ b/quota_ingress/net/engine/requests.py
@@ -1,4 +1,4 @@
-"""A client's request as the engine keeps it, and the table of all that are not finished."""
+"""The state of a client's request, and the table of all unfinished requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """A client's request, read and found valid. Times are us."""
+    """A client's request, parsed and validated. Times are us."""
 
     id: bytes
     request_class: int
@@ -23,19 +23,19 @@
     gateway_count: int
     first_gateway: int
     timeout: int
-    received_at: int  # when its last byte came to this machine; void while the body is still coming
+    received_at: int  # when its last byte reached this machine; meaningless until the body is complete
     is_retry: bool
-    head: bytes  # what is forwarded, but for the time left
+    head: bytes  # as forwarded, without the time left and the end of the head
     body: Body
 
 
 class Request:
-    """A client's request from its arrival until all of its attempts have ended. Moments are us.
+    """A client's request from its arrival until all of its attempts have ended. Timestamps are us.
 
     Attributes:
-        answered: The client has its final answer, or has left.
-        attempts_in_flight: How many attempts have not ended.
-        body_complete_at: When the body's last byte had come; None while it is coming, and no time runs.
+        answered: Whether the final answer has been sent, or the client has disconnected.
+        attempts_in_flight: The number of attempts that have not ended.
+        body_complete_at: When the body was complete; None before that, while no deadline runs.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, number: int, parsed: ParsedRequest, client: Client, deadline: int) -> None:
-        """Opens a request that is known to the policy as `number`."""
+        """Creates a request that the policy knows as `number`."""
         self.number = number
         self.parsed = parsed
         self.client = client
@@ -63,20 +63,21 @@
         self.timer: Timer | None = None
 
     @property
-    def body_coming(self) -> bool:
-        """The body's last byte has not come."""
+    def receiving_body(self) -> bool:
+        """Whether the body is incomplete."""
         return self.body_complete_at is None
 
     @property
     def body_forwarded(self) -> bool:
-        """Some of the body has gone to an endpoint and is not held any more."""
+        """Whether part of the body has been sent to an endpoint and is no longer buffered."""
         return self.parsed.body.discarded > 0
 
 
 class RequestTable:
-    """The requests that are not finished, by number and by the client's id.
+    """The unfinished requests, by number and by the client's request id.
 
-    An id is taken until `id_lifetime` us after its request is finished: one that comes twice is a duplicate.
+    An id stays in use until `id_lifetime` us after its request has finished; until then, another request with
+    that id is a duplicate.
     """
 
     def __init__(self, id_lifetime: int, now: Callable[[], int]) -> None:
@@ -85,7 +86,7 @@
         self._now = now
         self._requests: dict[int, Request] = {}
         self._numbers: dict[bytes, int] = {}
-        self._finished: deque[tuple[int, bytes]] = deque()  # moment and id, oldest first
+        self._finished: deque[tuple[int, bytes]] = deque()  # time of finishing and id, oldest first
         self._last_number = 0
 
     def __len__(self) -> int:
@@ -95,22 +96,22 @@
         return iter(list(self._requests.values()))
 
     def get(self, number: int) -> Request | None:
-        """Returns the request with that number unless it is finished."""
+        """Returns the unfinished request with that number, or None."""
         return self._requests.get(number)
 
     def with_id(self, request_id: bytes) -> Request | None:
-        """Returns the request with that id unless it is finished."""
+        """Returns the unfinished request with that id, or None."""
         return self._requests.get(self._numbers.get(request_id, 0))
 
     def is_duplicate(self, request_id: bytes, now: int) -> bool:
-        """Returns whether the id is taken, after giving free those whose time is over."""
+        """Returns whether the id is in use, after releasing ids whose lifetime has expired."""
         oldest = now - self._id_lifetime
         while self._finished and self._finished[0][0] < oldest:
             del self._numbers[self._finished.popleft()[1]]
         return request_id in self._numbers
 
     def add(self, parsed: ParsedRequest, client: Client, deadline: int) -> Request:
-        """Opens a request under the next number, which is never used again."""
+        """Creates a request under the next number; numbers are never reused."""
         self._last_number += 1
         request = Request(self._last_number, parsed, client, deadline)
         self._requests[request.number] = request
@@ -118,7 +119,7 @@
         return request
 
     def remove_if_finished(self, number: int) -> None:
-        """Forgets a request that is answered and has no attempt in flight."""
+        """Removes a request that has been answered and has no attempt in flight."""
         request = self._requests.get(number)
         if request and request.answered and request.attempts_in_flight == 0:
             del self._requests[number]
--- a/quota_ingress/net/engine/send_rules.py
+++ b/quota_ingress/net/engine/send_rules.py
@@ -1,8 +1,8 @@
 """The one place that decides whether an attempt may begin now.
 
-It is asked twice: when the policy wants an attempt, and again in the moment in which its first byte would be
-written, as a connection may take a second to come up and the process may be held up in between. The policy
-decides by the same rules on what it knows; a denial that it should have foreseen is counted as a violation.
+The rules are checked twice: when the policy requests an attempt, and again immediately before its first byte
+is written, because connecting may take a second and the process may be suspended in between. The policy
+applies the same rules to what it knows; a denial that it should have predicted is counted as a violation.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from quota_ingress.policy.settings import Idempotency, Limits, RequestClass
 
-WRITE_DELAY = 150_000  # us that may pass between reading the clock and the write, as the platform allows
+WRITE_DELAY = 150_000  # us that the platform may suspend the process between reading the clock and the write
 
 
 class Denial(Enum):
@@ -29,37 +29,37 @@
     WINDOW_OVER = "deduplication window over"
 
 
-# The policy is told all that these depend on, so it has to foresee them.
-FORESEEABLE = frozenset({Denial.TOO_MANY_ATTEMPTS, Denial.MAY_HAVE_RUN})
+# The policy knows everything that these depend on, so it has to predict them.
+PREDICTABLE_DENIALS = frozenset({Denial.TOO_MANY_ATTEMPTS, Denial.MAY_HAVE_RUN})
 
 
 class AttemptState(Protocol):
-    """What the rules need to know of one attempt of a request."""
+    """The part of an attempt's state that the rules use."""
 
-    sent_at: int  # us, when it was asked for
+    sent_at: int  # us, when the policy requested it
     ended: bool
 
     @property
     def may_have_run(self) -> bool:
-        """Its last byte may have been written, and no outcome has shown that it never ran."""
+        """Whether its last byte may have been written and no outcome has shown that it never ran."""
 
 
 class RequestState(Protocol):
-    """What the rules need to know of a request."""
+    """The part of a request's state that the rules use."""
 
     answered: bool
 
     @property
     def body_forwarded(self) -> bool:
-        """Some of its body has gone to an endpoint and is not held any more."""
+        """Whether part of its body has been sent to an endpoint and is no longer buffered."""
 
     @property
-    def body_coming(self) -> bool:
-        """Its last byte has not come."""
+    def receiving_body(self) -> bool:
+        """Whether its body is incomplete."""
 
     @property
     def attempts(self) -> Sequence[AttemptState]:
-        """All so far, the one that is asked for included."""
+        """All attempts so far, including the requested one."""
 
 
 def denial(
@@ -68,11 +68,11 @@
     request_class: RequestClass,
     limits: Limits,
     now: int,
-    useful_until: int,
+    response_deadline: int,
 ) -> Denial | None:
-    """Returns why `attempt`, one of the request's own, may not begin at `now` (us); None if it may.
+    """Returns why `attempt`, one of `request.attempts`, may not begin at `now` (us); None if it may.
 
-    `useful_until` is the moment (us) up to which a response could still be of use.
+    `response_deadline` is the time (us) until which a response can still be used.
     """
     if request.answered:
         return Denial.REQUEST_ANSWERED
@@ -80,17 +80,17 @@
         return Denial.TOO_MANY_ATTEMPTS
     others = [other for other in request.attempts if other is not attempt]
     in_flight = any(not other.ended for other in others)
-    if in_flight and (request.body_coming or not limits.may_hedge):
+    if in_flight and (request.receiving_body or not limits.may_hedge):
         return Denial.HEDGED
     if request.body_forwarded:
         return Denial.BODY_FORWARDED
     if reason := _retry_denial(others, request_class, now):
         return reason
-    return Denial.OUT_OF_TIME if useful_until <= now else None
+    return Denial.OUT_OF_TIME if response_deadline <= now else None
 
 
 def _retry_denial(others: Sequence[AttemptState], request_class: RequestClass, now: int) -> Denial | None:
-    """Returns why a further run could take effect again; None if it can't."""
+    """Returns why a retry could execute the request a second time; None if that is impossible or harmless."""
     may_have_run_since = [other.sent_at for other in others if other.may_have_run]
     if not may_have_run_since or request_class.idempotency is Idempotency.IDEMPOTENT:
         return None
--- a/quota_ingress/net/engine/settings_index.py
+++ b/quota_ingress/net/engine/settings_index.py
@@ -1,4 +1,4 @@
-"""The settings' names, as they come on the sockets, for what the policy knows by number."""
+"""Maps the names used in settings, requests and endpoint lists to the numbers that the policy uses."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from quota_ingress.policy.settings import Plan, Settings
 
-MAX_LOAD_VALUE = 1e6  # a report of this much or more is not believed
+MAX_LOAD_VALUE = 1e6  # a load report with a value this high or higher is ignored as implausible
 
 
 class SettingsIndex:
-    """Looks up request classes, plans, zones, kinds and load fields by name.
+    """Looks up request classes, plans, zones, endpoint kinds and load fields by name.
 
     Attributes:
         classes: Index into `Settings.classes` by name.
         plans: Index into `Settings.plans` by name.
-        zones: Number of a zone by name.
-        kinds: Number of a kind of endpoint by name.
-        max_units: By plan, the most units that one request may ask for.
+        zones: Zone number by name.
+        kinds: Number of an endpoint kind by name.
+        max_units: The maximum units of one request, by plan.
     """
 
     def __init__(self, settings: Settings, raw: Mapping[str, Any]) -> None:
-        """Indexes `settings`; `raw`, the platform's own object, names zones, kinds and load fields."""
+        """Indexes `settings`; `raw`, the settings as received, names zones, kinds and load fields."""
         self.classes = {c.name.encode(): number for number, c in enumerate(settings.classes)}
         self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
         self.zones = _numbered(raw.get("failure_domains", ()))
@@ -36,24 +36,24 @@
         self._load_field_count = len(settings.load_fields)
 
     def load(self, text: bytes) -> tuple[float, ...]:
-        """Returns the values of a load report such as `inflight=7,queue=2`, in the settings' order.
+        """Parses a load report such as `inflight=7,queue=2` in the order of `Settings.load_fields`.
 
-        The result is empty if a field is missing or is no plausible number.
+        The result is empty if a field is missing or its value is not a number from 0 to below MAX_LOAD_VALUE.
         """
-        found: list[float | None] = [None] * self._load_field_count
+        parsed_values: list[float | None] = [None] * self._load_field_count
         for part in text.split(b","):
-            name, _, text_value = part.strip().partition(b"=")
+            name, _, value_text = part.strip().partition(b"=")
             position = self._load_fields.get(name)
             if position is None:
                 continue
             try:
-                value = float(text_value)
+                value = float(value_text)
             except ValueError:
                 return ()
-            if not 0 <= value < MAX_LOAD_VALUE:  # nor NaN
+            if not 0 <= value < MAX_LOAD_VALUE:  # also true for NaN
                 return ()
-            found[position] = value
-        values = [value for value in found if value is not None]
+            parsed_values[position] = value
+        values = [value for value in parsed_values if value is not None]
         return tuple(values) if len(values) == self._load_field_count else ()
 
 
--- a/quota_ingress/net/engine/snapshot_codec.py
+++ b/quota_ingress/net/engine/snapshot_codec.py
@@ -1,7 +1,7 @@
-"""The policy's snapshot as a message between the two processes of an upgrade.
+"""Encodes the policy's snapshot as a message between the two processes of an upgrade, and decodes it.
 
-The keys, and the order of a customer's figures, are those of the versions in service: a process must be able
-to hand over to an older one and to take over from it.
+The keys and the order of a customer's values are those of the versions in service and must not change: a
+process must be able to hand over to an older version and to take over from one.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot, EndpointSnapshot, PolicySnapshot
 
-CUSTOMER_FIGURES = (  # fields of CustomerQuotaSnapshot, in the order of the message
+CUSTOMER_VALUES = (  # fields of CustomerQuotaSnapshot, in the order of the message
     "remaining_upper_bound",
     "remaining_at",
     "local_allowance",
@@ -28,17 +28,17 @@
     "decayed_at",
     "lease_success_rate",
 )
-MOMENTS = frozenset({"remaining_at", "last_answer_at", "demand_at", "decayed_at"})
+TIMESTAMPS = frozenset({"remaining_at", "last_answer_at", "demand_at", "decayed_at"})
 
 
 class SnapshotError(ValueError):
-    """The other process's snapshot cannot be read."""
+    """A snapshot message is malformed."""
 
 
 def encode(snapshot: PolicySnapshot, endpoint_names: Mapping[int, str]) -> dict[str, Any]:
     """Returns the message for `snapshot`.
 
-    Each process numbers endpoints its own way, so they go by name; one without a name is left out.
+    Endpoints are identified by name, as each process assigns its own numbers; one without a name is omitted.
     """
     return {
         "usual": list(snapshot.baseline_latencies),
@@ -59,10 +59,10 @@
 
 
 def decode(message: Mapping[str, Any], endpoint_ids: Mapping[str, int]) -> PolicySnapshot:
-    """Returns the snapshot in `message`; endpoints that are not in `endpoint_ids` are left out.
+    """Returns the snapshot in `message`; endpoints that are not in `endpoint_ids` are omitted.
 
     Raises:
-        SnapshotError: Any part of the message is missing or is of the wrong type.
+        SnapshotError: A part of the message is missing, has the wrong type or is not finite.
     """
     try:
         congestion = message.get("congestion", message.get("crowd"))  # versions before 2026-12 wrote "crowd"
@@ -88,12 +88,12 @@
         "customer": customer.customer,
         "plan": customer.plan,
         "spread": customer.gateway_count,
-        "sums": [float(getattr(customer, name)) for name in CUSTOMER_FIGURES],
+        "sums": [float(getattr(customer, name)) for name in CUSTOMER_VALUES],
     }
 
 
 def _decode_customers(raw: Iterable[Mapping[str, Any]]) -> Iterator[CustomerQuotaSnapshot]:
-    """Leaves out customers with another number of figures, as of another version."""
+    """Skips customers with a different number of values, which another version wrote."""
     for customer in raw:
         number, plan, gateway_count = (
             int(customer["customer"]),
@@ -101,12 +101,12 @@
             int(customer["spread"]),
         )
         values = _finite(customer["sums"])
-        if len(values) == len(CUSTOMER_FIGURES):
-            figures: dict[str, Any] = {
-                name: int(value) if name in MOMENTS else value
-                for name, value in zip(CUSTOMER_FIGURES, values, strict=True)
+        if len(values) == len(CUSTOMER_VALUES):
+            values_by_name: dict[str, Any] = {
+                name: int(value) if name in TIMESTAMPS else value
+                for name, value in zip(CUSTOMER_VALUES, values, strict=True)
             }
-            yield CustomerQuotaSnapshot(number, plan, gateway_count, **figures)
+            yield CustomerQuotaSnapshot(number, plan, gateway_count, **values_by_name)
 
 
 def _decode_endpoint(raw: Mapping[str, Any], endpoint_id: int) -> EndpointSnapshot:
@@ -115,7 +115,7 @@
 
 
 def _finite(values: Iterable[Any]) -> tuple[float, ...]:
-    found = tuple(float(value) for value in values)
-    if not all(map(math.isfinite, found)):
-        raise ValueError("a figure is not finite")
-    return found
+    numbers = tuple(float(value) for value in values)
+    if not all(map(math.isfinite, numbers)):
+        raise ValueError(f"expected finite numbers, got {numbers}")
+    return numbers
--- a/tests/test_snapshot_codec.py
+++ b/tests/test_snapshot_codec.py
@@ -9,7 +9,7 @@
 
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.engine.settings_index import SettingsIndex
-from quota_ingress.net.engine.snapshot_codec import CUSTOMER_FIGURES
+from quota_ingress.net.engine.snapshot_codec import CUSTOMER_VALUES
 from quota_ingress.policy.actions import Action, AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from quota_ingress.policy.events import CounterAnswered, Outcome, RequestArrived
@@ -69,7 +69,7 @@
     whole = json.loads(json.dumps(engine().hand_over()))
     engine().restore(whole)
     assert not caplog.records
-    account = {"customer": 7, "plan": 0, "spread": 1, "sums": [1.0] * len(CUSTOMER_FIGURES)}
+    account = {"customer": 7, "plan": 0, "spread": 1, "sums": [1.0] * len(CUSTOMER_VALUES)}
     bad = [{}, {"accounts": 7}, whole | {"more": "x"}, whole | {"more": float("nan")}, whole | {"usual": 0}]
     bad += [whole | {"accounts": [{}]}, whole | {"accounts": [account | {"sums": ["x"]}]}]
     for count, raw in enumerate(bad, 1):
