--- a/quota_ingress/net/counter/client.py
+++ b/quota_ingress/net/counter/client.py
@@ -1,4 +1,4 @@
-"""The counter's client: spreads calls over a few connections, and reconnects them."""
+"""The client of the shared counter: spreads calls over a few connections and reconnects them."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from quota_ingress.net.dial import dial
 from quota_ingress.policy.events import Outcome
 
-MAX_CONNECTIONS = 3  # of the 32 that the counter holds for an ingress
-MIN_CONNECTIONS = 2  # a stall shows only beside another connection
-MAX_FLEET_CONNECTIONS = 24  # of all ingresses together, as far as each has its minimum
-TIMEOUT_FACTOR = 3  # times the settings' timeout: an answer that is a little late is worth more than none
+MAX_CONNECTIONS = 3  # the counter accepts 32 per ingress
+MIN_CONNECTIONS = 2  # a stalled connection is detected by comparison with another one
+MAX_FLEET_CONNECTIONS = 24  # of all ingresses together, unless MIN_CONNECTIONS for each are more
+TIMEOUT_FACTOR = 3  # times the configured timeout: a slightly late answer is better than none
 DRAIN_TIMEOUT = 2.0  # s
 RECONNECT_BACKOFF = BackoffRange(0.05, 1.0)
 CONNECT_TIMEOUT = 1.0  # s
@@ -26,22 +26,22 @@
 
 
 class CounterClient:
-    """Adds to the counter's names over a few connections.
+    """Adds to named totals at the counter over a few connections.
 
-    A malformed answer or a stall on one connection takes only its own calls with it. Calls for one name
-    follow one another on one connection while any is unanswered, so that they keep their order.
+    A malformed answer or a stall fails only the calls on that connection. While a call for a name is
+    unanswered, further calls for that name use the same connection, so that they keep their order.
 
     Attributes:
-        connected: Set once the first connection is up.
+        connected: Set once the first connection is established.
     """
 
     def __init__(self, address: tuple[str, int], timeout_us: int, fleet_size: int = 1) -> None:
-        """Connects nothing before `start`.
+        """Opens no connection before `start`.
 
         Args:
             address: Host and port of the counter.
-            timeout_us: The settings' timeout of a call, in microseconds.
-            fleet_size: Ingresses that share the counter.
+            timeout_us: The configured timeout of a call, in microseconds.
+            fleet_size: The number of ingresses that share the counter.
         """
         self.connected = asyncio.Event()
         self._address = address
@@ -50,23 +50,23 @@
         self._connection_count = min(MAX_CONNECTIONS, max(MIN_CONNECTIONS, fleet_share))
         self._connections: list[CounterConnection] = []
         self._sequence = CallSequence()
-        self._last_addition: dict[int, _Addition] = {}  # by name, the last one that is unanswered
+        self._last_addition: dict[int, _Addition] = {}  # the last unanswered addition, by name
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Connects, and keeps reconnecting, in tasks of its own."""
+        """Starts background tasks that connect and reconnect."""
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._keep_connected()) for _ in range(self._connection_count)]
 
     def stop(self) -> None:
-        """Ends all connections; calls that are unanswered end as reset."""
+        """Closes all connections; unanswered calls end with Outcome.RESET."""
         for task in self._tasks:
             task.cancel()
         for connection in self._connections:
             connection.transport.abort()
 
     async def drain(self) -> None:
-        """Lets the calls in flight end, within DRAIN_TIMEOUT, and stops: another client takes its place."""
+        """Waits up to DRAIN_TIMEOUT for pending calls, then stops; called once a new client is in use."""
         for task in self._tasks:
             task.cancel()
         with contextlib.suppress(TimeoutError):
@@ -76,9 +76,9 @@
         self.stop()
 
     def add(self, name: int, amount: float, ttl_us: int, on_answer: OnAnswer) -> None:
-        """Adds to a name, which lives for `ttl_us` microseconds if it is new.
+        """Adds `amount` to the total of `name`, which expires after `ttl_us` microseconds if it is new.
 
-        `on_answer` gets the outcome, and with Outcome.OK the total.
+        `on_answer` is called with the outcome and, for Outcome.OK, the total.
         """
         previous = self._last_addition.get(name)
         connection = previous.connection if previous else None
@@ -92,20 +92,20 @@
         self._last_addition[name] = addition
 
     def is_last(self, addition: _Addition) -> bool:
-        """Returns whether no further addition to the same name is unanswered."""
+        """Returns whether this is the last unanswered addition to its name."""
         return self._last_addition.get(addition.name) is addition
 
     def forget(self, addition: _Addition) -> None:
-        """Drops an addition that has ended."""
+        """Removes an addition that has ended."""
         if self.is_last(addition):
             del self._last_addition[addition.name]
 
     def _best_connection(self) -> CounterConnection | None:
-        """Returns the connection with the fewest calls in flight, of those that are on time if any is."""
+        """Returns the connection with the fewest pending calls; overdue ones are used only if all are."""
         now = asyncio.get_running_loop().time()
         return min(
             (connection for connection in self._connections if not connection.transport.is_closing()),
-            key=lambda connection: (connection.is_late(now), connection.pending_count),
+            key=lambda connection: (connection.is_overdue(now), connection.pending_count),
             default=None,
         )
 
@@ -113,13 +113,13 @@
         backoff = Backoff(*RECONNECT_BACKOFF)
         while True:
             connection = CounterConnection(self._timeout, self._sequence)
-            if await self._serve(connection):
-                backoff.on_success()  # it answered until just now: the next attempt need not wait
+            if await self._run_connection(connection):
+                backoff.on_success()  # the counter has answered: reconnect at once
             else:
                 await asyncio.sleep(backoff.next_wait())
 
-    async def _serve(self, connection: CounterConnection) -> bool:
-        """Connects, and returns at the connection's end whether any call on it was answered."""
+    async def _run_connection(self, connection: CounterConnection) -> bool:
+        """Connects, waits until the connection closes, and returns whether any call on it was answered."""
         try:
             await dial(connection, self._address, CONNECT_TIMEOUT)
         except OSError:
@@ -132,7 +132,7 @@
 
 
 class _Addition:
-    """One addition to a name, until its total or its failure is known."""
+    """An addition to a name whose outcome is not yet known."""
 
     __slots__ = ("_amount", "_client", "_on_answer", "_ttl_us", "connection", "name")
 
@@ -153,15 +153,15 @@
         self._on_answer = on_answer
 
     def finish(self, outcome: Outcome, total: float) -> None:
-        """Passes on the call's outcome."""
+        """Reports the outcome of the call to the caller."""
         self._client.forget(self)
         self._on_answer(outcome, total)
 
     def recover_total(self) -> bool:
-        """Reads the total by adding nothing, as the amount has been added.
+        """Reads the total by adding 0, as the amount has already been added.
 
-        Answers for one name keep their order: with another call for it behind this one, the answer is lost. A
-        read is not repeated.
+        Answers for one name keep their order: if a later call for the same name is unanswered, no read is
+        sent and the addition ends with Outcome.RESET. A failed read is not repeated.
         """
         if not self._amount:
             return False
@@ -173,5 +173,5 @@
         return True
 
     def _finish_read(self, outcome: Outcome, total: float) -> None:
-        """Passes on the read's outcome; where the read never ran, the amount was added all the same."""
+        """Reports the outcome of the read. Even if the read never ran, the amount has been added."""
         self._on_answer(_OUTCOME_OF_FAILED_READ.get(outcome, outcome), total)
--- a/quota_ingress/net/counter/connection.py
+++ b/quota_ingress/net/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter: calls are pipelined, and answered in their order."""
+"""One connection to the counter: calls are pipelined and answered in order."""
 
 from __future__ import annotations
 
@@ -16,34 +16,35 @@
 )
 from quota_ingress.policy.events import Outcome
 
-PING_INTERVAL = 2.5  # s: the counter closes connections that have been idle for some 10 s
-DEAD_CONNECTION_TIMEOUT = 2.0  # s without the answer that is due
+PING_INTERVAL = 2.5  # s; the counter closes connections after about 10 s of idle time
+DEAD_CONNECTION_TIMEOUT = 2.0  # s without an answer to the oldest pending call
 
 log = logging.getLogger(__name__)
 
 
 class CallHandler(Protocol):
-    """Who made a call and waits for its answer."""
+    """Receives the result of a call."""
 
     def finish(self, outcome: Outcome, total: float) -> None:
-        """The call has ended; `total` counts only with Outcome.OK."""
+        """Ends the call with its outcome; `total` is valid only with Outcome.OK."""
 
     def recover_total(self) -> bool:
-        """Called where the call was carried out, but its answer is unreadable.
+        """Tries to obtain the total of a call that was executed but whose answer is malformed.
 
         Returns:
-            False if the caller leaves the call to the end of its connection.
+            Whether the handler has taken over the call; if not, the call ends with its connection.
         """
 
 
 class CallSequence:
-    """Numbers the calls on all connections as they are written.
+    """Numbers calls across all connections in the order in which they are written.
 
-    It tells a connection that has stalled from a counter that is slow.
+    The numbers distinguish a stalled connection from a slow counter: on a stalled one, a call stays
+    unanswered while later calls on other connections are answered.
 
     Attributes:
-        last_written: Number of the last call written.
-        last_answered: The greatest number of a call that was answered.
+        last_written: The number of the last call written.
+        last_answered: The highest number of an answered call.
     """
 
     __slots__ = ("last_answered", "last_written")
@@ -57,10 +58,10 @@
     """A call that has been written and not answered.
 
     Attributes:
-        number: Its number in the sequence of all calls.
-        written_at: Seconds of the loop's clock.
-        handler: Who waits for it; None for a ping, and for a call that timed out.
-        is_ping: Whether it is a ping.
+        number: The call's number in the CallSequence.
+        written_at: When the call was written, in seconds of the loop's clock.
+        handler: Receives the result; None for a ping and for a call that has timed out.
+        is_ping: Whether the call is a ping.
     """
 
     __slots__ = ("handler", "is_ping", "number", "written_at")
@@ -72,12 +73,12 @@
         self.is_ping = handler is None
 
     @property
-    def is_abandoned(self) -> bool:
-        """Whether it timed out."""
+    def has_timed_out(self) -> bool:
+        """Whether the call has timed out."""
         return self.handler is None and not self.is_ping
 
     def finish(self, outcome: Outcome, total: float = 0.0) -> None:
-        """Reports the outcome to the handler, if there still is one."""
+        """Reports the outcome to the handler, unless that has already been done."""
         handler = self.handler
         self.handler = None
         if handler:
@@ -87,26 +88,26 @@
 class CounterConnection(asyncio.Protocol):
     """One connection to the counter.
 
-    A call that has timed out keeps its place, so that its late answer is dropped and not taken for that of
+    A call that has timed out stays in the queue, so that a late answer to it is dropped and not matched with
     the next call.
 
     Attributes:
-        transport: The connection, once it is up.
-        closed: Set once the connection has ended.
-        has_answered: Whether a call has been answered.
+        transport: The transport, once the connection is established.
+        closed: Set once the connection is closed.
+        has_answered: Whether any call on this connection has been answered.
     """
 
     transport: asyncio.Transport
 
     def __init__(self, timeout: float, sequence: CallSequence) -> None:
-        """Lets calls time out after `timeout` seconds; `sequence` is shared by all connections."""
+        """Calls time out after `timeout` seconds; `sequence` is shared by all connections of the client."""
         self.closed = asyncio.Event()
         self.has_answered = False
         self._timeout = timeout
         self._sequence = sequence
         self._loop = asyncio.get_running_loop()
         self._pending: deque[PendingCall] = deque()
-        self._awaiting_timeout: deque[PendingCall] = deque()  # those whose timeout is still to come
+        self._awaiting_timeout: deque[PendingCall] = deque()  # calls that may still time out
         self._timeout_timer: asyncio.TimerHandle | None = None
         self._health_timer: asyncio.TimerHandle | None = None
         self._partial_line = b""
@@ -116,18 +117,18 @@
 
     @property
     def pending_count(self) -> int:
-        """Calls written and not answered."""
+        """The number of calls written and not answered."""
         return len(self._pending)
 
-    def is_late(self, now: float) -> bool:
-        """Returns whether a further call would wait behind one that has had its time."""
+    def is_overdue(self, now: float) -> bool:
+        """Returns whether the oldest pending call, behind which a new one would wait, has timed out."""
         if not self._pending:
             return False
-        due = self._pending[0]
-        return due.is_abandoned or now - due.written_at > self._timeout
+        oldest = self._pending[0]
+        return oldest.has_timed_out or now - oldest.written_at > self._timeout
 
     def call(self, line: bytes, handler: CallHandler | None) -> None:
-        """Writes a call; without a handler, it is a ping."""
+        """Writes a call; one without a handler is a ping."""
         now = self._loop.time()
         self._last_write_at = now
         self._sequence.last_written += 1
@@ -140,31 +141,33 @@
                 self._timeout_timer = self._loop.call_later(self._timeout, self._expire_calls)
 
     async def drain(self) -> None:
-        """Returns once no call is unanswered; sends no more pings."""
+        """Waits until all calls are answered; no more pings are sent."""
         self._is_draining = True
         if self._pending:
             await self._drained.wait()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts the checks of the connection's health."""
+        """Starts the periodic health checks of the connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
         self._last_write_at = self._loop.time()
         self._check_health()
 
     def data_received(self, data: bytes) -> None:
-        """Reads answers."""
+        """Matches answers with pending calls; a malformed answer closes the connection."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         try:
             for line in lines:
                 self._read_answer(line.rstrip(b"\r"))
             if len(self._partial_line) > MAX_ANSWER_BYTES:
-                raise MalformedAnswerError("too long")
+                raise MalformedAnswerError(
+                    f"unterminated line of {len(self._partial_line)} bytes exceeds {MAX_ANSWER_BYTES}"
+                )
         except MalformedAnswerError as error:
-            log.warning("counter: answer not understood: %s", error)
+            log.warning("counter: malformed answer, closing the connection: %s", error)
             self._abort_unreadable()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends all calls that were written: they may have been carried out."""
+        """Ends all pending calls with Outcome.RESET, as they may have been executed."""
         for timer in (self._timeout_timer, self._health_timer):
             if timer:
                 timer.cancel()
@@ -178,7 +181,7 @@
     def _read_answer(self, line: bytes) -> None:
         kind, total = decode_answer(line)
         if not self._pending or self._pending[0].is_ping != (kind is AnswerKind.PONG):
-            raise MalformedAnswerError("it belongs to no call")
+            raise MalformedAnswerError(f"{kind.name} answer without a matching call")
         self.has_answered = True
         call = self._pending.popleft()
         self._sequence.last_answered = max(self._sequence.last_answered, call.number)
@@ -187,27 +190,27 @@
             self._drained.set()
 
     def _abort_unreadable(self) -> None:
-        """Ends a connection whose answers cannot be paired with calls any more.
+        """Closes a connection whose answers can no longer be matched with calls.
 
-        The call that was due has been carried out. Nothing is known of those behind it.
+        The oldest pending call has been executed. Whether those behind it have been is unknown.
         """
         self.transport.abort()
-        due = self._pending[0] if self._pending else None
-        if due and due.handler and due.handler.recover_total():
+        oldest = self._pending[0] if self._pending else None
+        if oldest and oldest.handler and oldest.handler.recover_total():
             self._pending.popleft()
-            due.handler = None
+            oldest.handler = None
 
     def _has_stalled(self, now: float) -> bool:
-        """Returns whether the call that is due has timed out, while a later one has been answered."""
+        """Returns whether the oldest pending call has timed out while a later call has been answered."""
         if not self._pending:
             return False
-        due = self._pending[0]
-        return now >= due.written_at + self._timeout and self._sequence.last_answered > due.number
+        oldest = self._pending[0]
+        return now >= oldest.written_at + self._timeout and self._sequence.last_answered > oldest.number
 
     def _expire_calls(self) -> None:
         now = self._loop.time()
         self._timeout_timer = None
-        if self._has_stalled(now):  # its calls are lost, but the next ones need not be
+        if self._has_stalled(now):  # the pending calls fail; later ones use another connection
             self.transport.abort()
             return
         calls = self._awaiting_timeout
@@ -218,9 +221,9 @@
             self._timeout_timer = self._loop.call_later(time_left, self._expire_calls)
 
     def _check_health(self) -> None:
-        """Aborts a dead connection, and keeps an idle one alive.
+        """Aborts a dead or stalled connection and pings an idle one to keep it open.
 
-        A dead counter says nothing, nor does a stalled connection: missing answers are the only sign.
+        Neither a dead counter nor a stalled connection reports an error: missing answers are the only sign.
         """
         now = self._loop.time()
         if self._has_stalled(now):
--- a/quota_ingress/net/counter/protocol.py
+++ b/quota_ingress/net/counter/protocol.py
@@ -1,4 +1,4 @@
-"""The counter's line protocol: the only place that knows its verbs."""
+"""The codec of the counter's line protocol: the only module that knows its verbs."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class MalformedAnswerError(ValueError):
-    """A line of the counter is no answer."""
+    """A line from the counter is not a valid answer."""
 
 
 class AnswerKind(Enum):
-    """What a line of the counter says."""
+    """The kind of an answer from the counter."""
 
     ADDED = auto()
     REJECTED = auto()  # nothing was added
@@ -29,7 +29,7 @@
 
 
 class CounterAnswer(NamedTuple):
-    """An answer; `total` is the counted name's where something was added, else 0."""
+    """An answer; `total` is the total under the call's name for ADDED, otherwise 0."""
 
     kind: AnswerKind
     total: float
@@ -40,16 +40,16 @@
 
 
 def encode_add(name: int, amount: float, ttl_us: int) -> bytes:
-    """Returns the call that adds `amount` to `name`, which lives for `ttl_us` microseconds if it is new."""
+    """Returns the call that adds `amount` to `name`, which expires after `ttl_us` us if it is new."""
     ttl_ms = min(MAX_TTL_MS, max(1, ttl_us // _US_PER_MS))
     return b"add %016x %.6f %d\r\n" % (name, amount, ttl_ms)
 
 
 def decode_answer(line: bytes) -> CounterAnswer:
-    """Decodes one line, without its end.
+    """Decodes one line, given without its line ending.
 
     Raises:
-        MalformedAnswerError: The line is no answer.
+        MalformedAnswerError: The line is not a valid answer.
     """
     word, _, rest = line.partition(b" ")
     if word == _ADDED:
@@ -58,14 +58,14 @@
         return _REJECTED_ANSWER
     if word == _PONG:
         return _PONG_ANSWER
-    raise MalformedAnswerError("no such answer")
+    raise MalformedAnswerError(f"unknown answer {word[:40]!r}")
 
 
 def _decode_total(text: bytes) -> float:
     try:
         total = float(text)
     except ValueError:
-        raise MalformedAnswerError("the total is no number") from None
+        raise MalformedAnswerError(f"total is not a number: {text[:40]!r}") from None
     if not math.isfinite(total):
-        raise MalformedAnswerError("the total is not finite")
+        raise MalformedAnswerError(f"total is not finite: {total}")
     return total
