--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -1,4 +1,4 @@
-"""A client that leaves between two steps, with the worse order forced: nothing of it reaches a backend."""
+"""Races between a client's disconnect and its requests: none is forwarded after it. The order is forced."""
 
 from __future__ import annotations
 
@@ -21,22 +21,25 @@
 )
 
 
-async def left(writer: asyncio.StreamWriter) -> None:
+async def disconnect(writer: asyncio.StreamWriter) -> None:
     writer.close()
-    await writer.wait_closed()  # on loopback, its end is in our socket by now
+    await writer.wait_closed()  # on loopback, the end of the stream has reached the ingress's socket by now
 
 
-async def test_a_client_that_leaves_while_reading_is_paused_is_noticed(
+async def test_a_disconnect_while_reading_is_paused_is_detected(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """Reading stops while requests wait, and the client's end came behind them: each was still sent on."""
+    """Reading pauses while requests wait, so the end of the stream stays unread behind them.
+
+    The waiting requests must not be forwarded.
+    """
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(9)) + request("s0") * 20)
     await backend.until(lambda: asked(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
-    await left(writer)
+    await disconnect(writer)
     await ingress.script.seen(ClientDisconnected)
     backend.peers[0].transport.write(OK)
     await ingress.script.seen(AttemptEnded)
@@ -44,10 +47,10 @@
     assert not ingress.listener.connections
 
 
-async def test_a_pipelined_request_is_not_forwarded_once_its_client_has_left(
+async def test_a_pipelined_request_is_not_forwarded_after_its_client_has_disconnected(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer to the first comes before anybody has looked whether the client is there."""
+    """The response to the first request arrives before the periodic check for a disconnect."""
     monkeypatch.setattr(read_flow, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(12)))
@@ -55,7 +58,7 @@
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
-    await left(writer)
+    await disconnect(writer)
     backend.peers[0].transport.write(OK)
     async with asyncio.timeout(10):
         while ingress.listener.connections:
@@ -63,46 +66,49 @@
     assert asked(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
 
 
-async def test_a_request_whose_client_left_in_the_accept_queue_is_not_forwarded(
+async def test_a_request_whose_client_disconnected_in_the_accept_queue_is_not_forwarded(
     ingress: Ingress, backend: PeerServer, no_reuse_delay: None
 ) -> None:
-    """It is read before its client's end, and a kept connection would take it at once."""
+    """The request is read before the end of the stream, and an idle backend connection is available."""
     backend.heard = answers(OK)
     await ingress.ask(request("k0"))
     backend.heard = lambda peer: None
     ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
-    await left(writer)
-    stays = asyncio.create_task(ingress.ask(request("r1")))
+    await disconnect(writer)
+    response = asyncio.create_task(ingress.ask(request("r1")))
     ingress.listener.resume_accepting()
     await backend.until(lambda: b"r1" in asked(backend))
     for peer in backend.peers:
         peer.transport.write(OK)
-    assert (await stays).startswith(b"HTTP/1.1 200 ")
+    assert (await response).startswith(b"HTTP/1.1 200 ")
     assert asked(backend) == [b"r1"]
 
 
-async def test_a_request_is_not_written_when_its_connection_comes_up_after_its_client_has_left(
+async def test_a_request_is_not_written_to_a_connection_established_after_its_client_has_disconnected(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also where attempts may not be cancelled: this one has not begun. And the backend is not to blame."""
-    up, connect, dialling = asyncio.Event(), ConnectionPool._connect, asyncio.Event()
+    """The attempt has not begun, so it is withdrawn even where attempts must not be cancelled.
+
+    It ends as NOT_SENT, which does not count as a failure of the backend.
+    """
+    may_connect, connect, dialling = asyncio.Event(), ConnectionPool._connect, asyncio.Event()
 
-    async def late(pool: ConnectionPool, exchange: Exchange) -> None:
+    async def delayed_connect(pool: ConnectionPool, exchange: Exchange) -> None:
         dialling.set()
         try:
-            await up.wait()
+            await may_connect.wait()
         finally:
             await connect(pool, exchange)
 
-    monkeypatch.setattr(ConnectionPool, "_connect", late)
+    monkeypatch.setattr(ConnectionPool, "_connect", delayed_connect)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await dialling.wait()
-    await left(writer)
+    await disconnect(writer)
     await ingress.script.seen(ClientDisconnected)
-    up.set()
+    may_connect.set()
     (ended,) = await ingress.script.seen(AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT and ended.request_ended
     await asyncio.sleep(0)
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter's client over loopback sockets."""
+"""The client of the shared counter over loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quota_ingress.policy.events import Outcome
 from tests.net_helpers import HOST, PeerServer
 
-LONG, SHORT = 10_000_000, 20_000
+LONG_TIMEOUT, SHORT_TIMEOUT = 10_000_000, 20_000  # us
 
 
 class RecordedCalls:
@@ -29,11 +29,11 @@
                 await asyncio.sleep(0)
 
     def add(self, label: str, amount: float = 1.0, ttl_us: int = 4_000_000, name: int = 0xAB) -> None:
-        def answered(outcome: Outcome, total: float) -> None:
+        def on_answer(outcome: Outcome, total: float) -> None:
             self.answers.append((label, outcome, total))
             self.changed.set()
 
-        self.counter.add(name, amount, ttl_us, answered)
+        self.counter.add(name, amount, ttl_us, on_answer)
 
     async def answered(self, count: int) -> list[tuple[str, Outcome, float]]:
         async with asyncio.timeout(10):
@@ -45,7 +45,7 @@
 
 @pytest.fixture(autouse=True)
 def one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 1)  # but where a test says otherwise
+    monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 1)  # default; some tests set another number
 
 
 async def received_adds(server: PeerServer, count: int) -> list[bytes]:
@@ -58,7 +58,7 @@
 
 
 async def test_calls_are_pipelined_and_answers_come_in_their_order(server: PeerServer) -> None:
-    calls = RecordedCalls(server, LONG)
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
     calls.add("a", -2.5)
     calls.add("b", 1 / 3, 90_000_000)
@@ -78,8 +78,8 @@
     calls.counter.stop()
 
 
-async def test_a_late_answer_is_dropped_and_not_taken_for_the_next_one(server: PeerServer) -> None:
-    calls = RecordedCalls(server, SHORT)
+async def test_a_late_answer_is_dropped_and_not_matched_with_the_next_call(server: PeerServer) -> None:
+    calls = RecordedCalls(server, SHORT_TIMEOUT)
     await calls.connect()
     calls.add("late")
     await received_adds(server, 1)
@@ -94,18 +94,18 @@
 async def test_a_malformed_answer_ends_the_connection_and_a_new_one_is_made(
     server: PeerServer, reply: bytes
 ) -> None:
-    calls = RecordedCalls(server, LONG)
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
     calls.add("a")
     await received_adds(server, 1)
     server.peers[0].transport.write(reply)
-    assert await calls.answered(1) == [("a", Outcome.RESET, 0.0)]  # written: it may have been added
+    assert await calls.answered(1) == [("a", Outcome.RESET, 0.0)]  # it was written and may have been executed
     await server.until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
-async def test_a_connection_that_breaks_under_a_call_is_a_reset_and_no_timeout(server: PeerServer) -> None:
-    calls = RecordedCalls(server, LONG)
+async def test_a_connection_lost_during_a_call_is_reported_as_reset(server: PeerServer) -> None:
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
     calls.add("a")
     await received_adds(server, 1)
@@ -114,35 +114,37 @@
     calls.counter.stop()
 
 
-async def test_a_call_without_a_connection_added_nothing(server: PeerServer) -> None:
-    calls = RecordedCalls(server, LONG)
+async def test_a_call_without_a_connection_is_reported_as_connect_failed(server: PeerServer) -> None:
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     calls.add("a")
     assert calls.answers == [("a", Outcome.CONNECT_FAILED, 0.0)]
 
 
-async def test_a_malformed_answer_or_a_stall_ends_only_the_calls_of_its_own_connection(
+async def test_a_malformed_answer_ends_only_the_calls_on_its_connection(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
-    calls = RecordedCalls(server, LONG)
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
     calls.add("a", name=1)
     calls.add("b", name=2)
     calls.add("c", name=3)
-    calls.add("c, too", name=3)  # in its order: behind the first
+    calls.add("c again", name=3)  # on the same connection, to keep the order
     await received_adds(server, 4)
     first, other = sorted(server.peers, key=lambda p: b"add 0000000000000001 " not in p.data)
     assert first.data.count(b"add") == 3 and other.data.count(b"add") == 1
     first.transport.write(b"ok {}\r\n")
-    assert await calls.answered(2) == [("c", Outcome.RESET, 0.0), ("c, too", Outcome.RESET, 0.0)]
-    await server.until(lambda: b"add 0000000000000001 0.000000 4000" in other.data)  # its total
+    assert await calls.answered(2) == [("c", Outcome.RESET, 0.0), ("c again", Outcome.RESET, 0.0)]
+    await server.until(lambda: b"add 0000000000000001 0.000000 4000" in other.data)  # reads the total
     other.transport.write(b"ok 4\r\nok 1\r\n")
     assert (await calls.answered(4))[2:] == [("b", Outcome.OK, 4.0), ("a", Outcome.OK, 1.0)]
     await server.until(lambda: len(server.peers) == 3)
     calls.counter.stop()
 
 
-async def test_an_answer_that_is_a_little_late_still_counts(server: PeerServer) -> None:
+async def test_an_answer_after_the_configured_timeout_but_within_its_multiple_is_used(
+    server: PeerServer,
+) -> None:
     calls = RecordedCalls(server, 200_000)
     await calls.connect()
     loop = asyncio.get_running_loop()
@@ -152,11 +154,11 @@
     calls.counter.stop()
 
 
-async def test_calls_avoid_a_connection_that_is_late(
+async def test_calls_avoid_a_connection_with_an_overdue_call(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
-    calls = RecordedCalls(server, SHORT)
+    calls = RecordedCalls(server, SHORT_TIMEOUT)
     await calls.connect()
     calls.add("stuck", name=1)
     await calls.answered(1)
@@ -168,11 +170,11 @@
     calls.counter.stop()
 
 
-async def test_a_connection_that_stalls_while_others_are_answered_is_replaced_at_once(
+async def test_a_connection_that_stalls_while_others_are_answered_is_replaced(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 2)
-    calls = RecordedCalls(server, SHORT)
+    calls = RecordedCalls(server, SHORT_TIMEOUT)
     await calls.connect()
     calls.add("stuck", name=1)
     await received_adds(server, 1)
@@ -184,35 +186,40 @@
     calls.counter.stop()
 
 
-async def test_a_client_that_drains_lets_its_calls_in_flight_end(server: PeerServer) -> None:
-    calls = RecordedCalls(server, LONG)
+async def test_a_draining_client_waits_for_its_pending_calls(server: PeerServer) -> None:
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
     calls.add("a")
     await received_adds(server, 1)
-    left = asyncio.create_task(calls.counter.drain())
+    drain = asyncio.create_task(calls.counter.drain())
     await asyncio.sleep(0)
-    assert not left.done()
+    assert not drain.done()
     server.peers[0].transport.write(b"ok 2\r\n")
     assert await calls.answered(1) == [("a", Outcome.OK, 2.0)]
-    await left
+    await drain
     await server.until(lambda: len(server.closed) == 1)
     assert len(server.peers) == 1
 
 
-async def test_an_idle_connection_is_pinged_and_a_silent_one_aborted(
+async def test_an_idle_connection_is_pinged_and_an_unresponsive_one_aborted(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connection_module, "PING_INTERVAL", 0.01)
     monkeypatch.setattr(connection_module, "DEAD_CONNECTION_TIMEOUT", 0.05)
-    calls = RecordedCalls(server, LONG)
+    calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
     await server.until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
     await server.until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
-async def test_each_ingress_of_a_large_fleet_holds_fewer_connections_to_the_counter(
+async def test_an_ingress_of_a_large_fleet_opens_fewer_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(counter_module, "MAX_CONNECTIONS", 3)
-    assert [CounterClient((HOST, 1), LONG, size)._connection_count for size in (4, 8, 12, 48)] == [3, 3, 2, 2]
+    assert [CounterClient((HOST, 1), LONG_TIMEOUT, size)._connection_count for size in (4, 8, 12, 48)] == [
+        3,
+        3,
+        2,
+        2,
+    ]
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The numbers and hash keys of endpoints, as the policy is told."""
+"""The numbers and hash keys of endpoints in events to the policy."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from tests.support.fake_network import FakeNetwork, sender
 
 
-def test_endpoints_that_are_gone_are_forgotten_and_their_numbers_never_used_again() -> None:
+def test_removed_endpoints_are_forgotten_and_their_numbers_never_reused() -> None:
     network = FakeNetwork(Script(sender()))
     for index in range(50):
-        names = [{"name": f"s-{index}", "address": "127.0.0.1:1", "status": "up"}]
+        entries = [{"name": f"s-{index}", "address": "127.0.0.1:1", "status": "up"}]
         if index:
-            names.append({"name": f"s-{index - 1}", "status": "removed"})
+            entries.append({"name": f"s-{index - 1}", "status": "removed"})
         network.engine.update_endpoints(
-            decode_endpoint_list({"index": index, "snapshot": False, "endpoints": names})
+            decode_endpoint_list({"index": index, "snapshot": False, "endpoints": entries})
         )
     assert len(network.engine.endpoints.numbers) == 1 and network.removed_endpoints == list(range(1, 50))
-    again = {"name": "s-3", "address": "127.0.0.1:1", "status": "up"}
+    relisted = {"name": "s-3", "address": "127.0.0.1:1", "status": "up"}
     network.engine.update_endpoints(
-        decode_endpoint_list({"index": 60, "snapshot": False, "endpoints": [again]})
+        decode_endpoint_list({"index": 60, "snapshot": False, "endpoints": [relisted]})
     )
     assert network.script.of(EndpointsListed)[-1].endpoints[0].id == 51
 
--- a/tests/test_retry_races.py
+++ b/tests/test_retry_races.py
@@ -1,4 +1,4 @@
-"""A retry that crosses a drain or a reset, through the real policy, with the worse order forced by events."""
+"""Races between a retry and a drain or reset, with the real policy; the order of events is forced."""
 
 from __future__ import annotations
 
@@ -27,80 +27,83 @@
 
 
 @pytest_asyncio.fixture
-async def two() -> AsyncIterator[tuple[Ingress, list[PeerServer]]]:
-    """Two backends, named by their place; they say nothing until a test has them answer."""
+async def ingress_and_backends() -> AsyncIterator[tuple[Ingress, list[PeerServer]]]:
+    """An ingress and two backends, named by their index, that do not respond until a test sets a response."""
     servers = [await PeerServer().start() for _ in range(2)]
     ingress = Ingress(Gateway(SETTINGS, 1))  # type: ignore[arg-type]
     await ingress.start()
-    ingress.engine.update_endpoints(both(servers, "up", "up"))
+    ingress.engine.update_endpoints(list_of(servers, "up", "up"))
     yield ingress, servers
     ingress.stop()
     for server in servers:
         server.stop()
 
 
-def both(servers: list[PeerServer], *status: str) -> EndpointList:
+def list_of(servers: list[PeerServer], *statuses: str) -> EndpointList:
     entries = [
         {"name": f"s-{n}", "address": f"{HOST}:{server.port}", "status": state, "zone": "hall", "type": "big"}
-        for n, (server, state) in enumerate(zip(servers, status, strict=True))
+        for n, (server, state) in enumerate(zip(servers, statuses, strict=True))
     ]
     return decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
 
 
 @pytest.mark.parametrize("cls", ["read", "order"])
 async def test_an_unwritten_attempt_at_a_draining_backend_is_retried_elsewhere(
-    two: tuple[Ingress, list[PeerServer]], monkeypatch: pytest.MonkeyPatch, cls: str
+    ingress_and_backends: tuple[Ingress, list[PeerServer]], monkeypatch: pytest.MonkeyPatch, cls: str
 ) -> None:
-    """Its connection comes up right after the list; it never ran, so an unsafe one may go on, too."""
-    ingress, servers = two
+    """The connection is established right after the backend starts to drain.
+
+    The attempt never ran, so a request that is not idempotent is retried as well.
+    """
+    ingress, servers = ingress_and_backends
     chosen: list[str] = []
-    up, dialling, connect = asyncio.Event(), asyncio.Event(), ConnectionPool._connect
+    may_connect, dialling, connect = asyncio.Event(), asyncio.Event(), ConnectionPool._connect
 
-    async def late(pool: ConnectionPool, exchange: Exchange) -> None:
+    async def delayed_connect(pool: ConnectionPool, exchange: Exchange) -> None:
         chosen.append(pool.name)
         dialling.set()
         try:
-            await up.wait()
+            await may_connect.wait()
         finally:
             await connect(pool, exchange)
 
-    monkeypatch.setattr(ConnectionPool, "_connect", late)
-    answer = asyncio.create_task(ingress.ask(request("r0", cls)))
+    monkeypatch.setattr(ConnectionPool, "_connect", delayed_connect)
+    response = asyncio.create_task(ingress.ask(request("r0", cls)))
     await dialling.wait()
-    leaving = int(chosen[0][-1])
-    states = ["up", "up"]
-    states[leaving] = "draining"
-    servers[1 - leaving].heard = answers(OK)
-    up.set()
-    ingress.engine.update_endpoints(both(servers, *states))
-    assert (await answer).endswith(b"warm")
-    assert asked(servers[leaving]) == [] and len(servers[1 - leaving].peers) == 1
-    assert chosen == [f"s-{leaving}", f"s-{1 - leaving}"]
+    draining = int(chosen[0][-1])
+    statuses = ["up", "up"]
+    statuses[draining] = "draining"
+    servers[1 - draining].heard = answers(OK)
+    may_connect.set()
+    ingress.engine.update_endpoints(list_of(servers, *statuses))
+    assert (await response).endswith(b"warm")
+    assert asked(servers[draining]) == [] and len(servers[1 - draining].peers) == 1
+    assert chosen == [f"s-{draining}", f"s-{1 - draining}"]
 
 
 async def test_a_reset_after_the_last_byte_fails_a_non_idempotent_request_and_retries_others(
-    two: tuple[Ingress, list[PeerServer]], no_reuse_delay: None
+    ingress_and_backends: tuple[Ingress, list[PeerServer]], no_reuse_delay: None
 ) -> None:
-    """On connections that were kept, and die under the next request."""
-    ingress, servers = two
+    """Idle connections are reused, and the backend resets them when it receives the next request."""
+    ingress, servers = ingress_and_backends
     for server in servers:
         server.heard = answers(OK)
     for number in range(4):
         assert (await ingress.ask(request(f"k{number}"))).endswith(b"warm")
     for server in servers:
         server.heard = lambda peer: peer.transport.abort()
-    answer = await ingress.ask(request("u0", "order"))
-    assert answer.startswith(b"HTTP/1.1 502 ")
+    response = await ingress.ask(request("u0", "order"))
+    assert response.startswith(b"HTTP/1.1 502 ")
     assert sum(server.peers[n].data.count(b"u0") for server in servers for n in range(len(server.peers))) == 1
-    first: list[Peer] = []
+    reset_peers: list[Peer] = []
 
-    def resets_once(peer: Peer) -> None:
-        if first and first[0] is not peer:
+    def reset_first_connection(peer: Peer) -> None:
+        if reset_peers and reset_peers[0] is not peer:
             peer.transport.write(OK)
         else:
-            first.append(peer)
+            reset_peers.append(peer)
             peer.transport.abort()
 
     for server in servers:
-        server.heard = resets_once
+        server.heard = reset_first_connection
     assert (await ingress.ask(request("s0", Cookie=f"customer={8:016x}"))).endswith(b"warm")
--- a/tests/test_settings_index.py
+++ b/tests/test_settings_index.py
@@ -1,4 +1,4 @@
-"""Names and load reports as they come on the sockets."""
+"""Parsing of load reports."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
     "text",
     [b"", b"queue=", b"other=1", b"queue=1e", b"queue=nan", b"queue=-1", b"queue=inf", b"queue=9e9"],
 )
-def test_a_load_report_that_says_nothing_is_none(text: bytes) -> None:
+def test_a_load_report_without_a_valid_value_of_every_field_is_empty(text: bytes) -> None:
     assert SettingsIndex(SETTINGS, RAW).load(text) == ()
