--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -140,7 +140,7 @@
         self._owner.post(event)
 
     def _authorize(self, request: Request, attempt: Attempt) -> bytes | None:
-        """Returns the data written after the head: the time left from now on, and a buffered body.
+        """Returns the data written after the head: the Request-Timeout header and a buffered body.
 
         Returns None if the attempt may no longer begin.
         """
--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that the policy knows: this gateway's subset of the list, each under a number."""
+"""The endpoints that the policy knows: this gateway's subset of the list, and their numbers."""
 
 from __future__ import annotations
 
--- a/quota_ingress/net/engine/ports.py
+++ b/quota_ingress/net/engine/ports.py
@@ -126,7 +126,7 @@
     """The client of a request, to which exactly one final answer is sent."""
 
     def disconnected(self) -> bool:
-        """Returns whether the client has closed its connection, also if the socket's end is still unread."""
+        """Returns whether the client has closed its connection, even if the socket's end is still unread."""
 
     def respond(self, result: AttemptResult) -> None:
         """Sends an endpoint's complete response."""
--- a/quota_ingress/net/engine/requests.py
+++ b/quota_ingress/net/engine/requests.py
@@ -25,7 +25,7 @@
     timeout: int
     received_at: int  # when its last byte reached this machine; meaningless until the body is complete
     is_retry: bool
-    head: bytes  # as forwarded, without the time left and the end of the head
+    head: bytes  # as forwarded, up to the Request-Timeout header, which is written last
     body: Body
 
 
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The rules that allow or deny an attempt, checked again immediately before it is written, and cleanup."""
+"""The rules for attempts, their check immediately before the write, and cleanup after withdrawn attempts."""
 
 from __future__ import annotations
 
@@ -130,7 +130,7 @@
 
 
 def request_with(*attempts: Attempt, answered: bool = False) -> tuple[Request, Attempt]:
-    """Returns a request with these attempts and a further one, and that one, which is to be checked."""
+    """Returns a request with these attempts and a new one, and the new one, on which the rules decide."""
     body = Body(MemoryBudget())
     body.complete = True
     parsed = ParsedRequest(b"a", 0, 0, 7, 1.0, 1, 0, 1_000_000, NOW, False, b"", body)
