--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -71,7 +71,7 @@
     is_draining: bool
 
 
-OperatorNote = EndpointCall | DrainCall
+OperatorCall = EndpointCall | DrainCall
 
 
 class EndpointListChange(NamedTuple):
@@ -136,7 +136,7 @@
     return {
         "listed": {"index": overrides.list_version, "count": overrides.endpoint_count},
         "out": list(overrides.offline),
-        "back": dict(overrides.restarted_at),
+        "back": dict(overrides.back_online_at),
         "gone": list(overrides.removed_names),
         "drained": state.is_draining,
         "clock": state.clock_base_us,
@@ -168,7 +168,7 @@
         case {"part": entries}:
             return ListPart(_decode_entries(entries))
         case {"note": note}:
-            return _decode_note(note)
+            return _decode_operator_call(note)
         case {"listed": change}:
             return _decode_change(change)
         case {"answer": dict(content)}:
@@ -184,7 +184,7 @@
     return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
-def _decode_note(note: Document) -> OperatorNote:
+def _decode_operator_call(note: Document) -> OperatorCall:
     if "drain" in note:
         return DrainCall(bool(note["drain"]))
     return EndpointCall(str(note["backend"]), bool(note["out"]))
@@ -222,6 +222,6 @@
         list_version=list_version,
         endpoint_count=endpoint_count,
         offline=tuple(str(name) for name in content["out"]),
-        restarted_at={str(name): int(moment) for name, moment in content["back"].items()},
+        back_online_at={str(name): int(moment) for name, moment in content["back"].items()},
         removed_names=tuple(str(name) for name in content["gone"]),
     )
