--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -144,7 +144,7 @@
             state=entry.state,
             zone=self._index.zones.get(entry.zone, 0),
             cell=entry.group,
-            kind=self._index.kinds.get(entry.machine_type, 0),
+            kind=self._index.machine_types.get(entry.machine_type, 0),
             weight=entry.weight,
             started_at=started_at,
             hash_key=hash_key(entry.name),
--- a/quota_ingress/net/engine/settings_index.py
+++ b/quota_ingress/net/engine/settings_index.py
@@ -12,22 +12,22 @@
 
 
 class SettingsIndex:
-    """Looks up request classes, plans, zones, endpoint kinds and load fields by name.
+    """Looks up request classes, plans, zones, machine types and load fields by name.
 
     Attributes:
         classes: Index into `Settings.classes` by name.
         plans: Index into `Settings.plans` by name.
         zones: Zone number by name.
-        kinds: Number of an endpoint kind by name.
+        machine_types: Number of a machine type by name.
         max_units: The maximum units of one request, by plan.
     """
 
     def __init__(self, settings: Settings, raw: Mapping[str, Any]) -> None:
-        """Indexes `settings`; `raw`, the settings as received, names zones, kinds and load fields."""
+        """Indexes `settings`; `raw`, the settings as received, names zones, machine types and load fields."""
         self.classes = {c.name.encode(): number for number, c in enumerate(settings.classes)}
         self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
         self.zones = _numbered(raw.get("failure_domains", ()))
-        self.kinds = _numbered(raw.get("flavors", ()))
+        self.machine_types = _numbered(raw.get("flavors", ()))
         units_top = float(raw.get("domain", {}).get("units_top", 0)) or math.inf
         self.max_units = tuple(_max_units(plan, units_top) for plan in settings.plans)
         names_on_wire = raw.get("telemetry", {}).get("fields", ())
