--- a/quota_ingress/net/discovery/__init__.py
+++ b/quota_ingress/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: the watch on discovery, its parser, and what operators lay over it."""
+"""The endpoint list: the watch on discovery, the parser of its documents, and operators' overrides."""
--- a/quota_ingress/net/discovery/directory.py
+++ b/quota_ingress/net/discovery/directory.py
@@ -1,4 +1,4 @@
-"""All listed endpoints as the rest of the ingress has been notified of them: the one table of every name."""
+"""Directory of all listed endpoints, as published to the rest of the ingress."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class EndpointDirectory(Mapping[str, EndpointEntry]):
-    """Endpoints by name, held in packed form. A delta costs as much as it changes.
+    """Endpoints by name, stored in packed form. The cost of a delta is proportional to its length.
 
     Attributes:
-        ready_count: How many endpoints take requests.
+        ready_count: Number of endpoints that take requests.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._packed: dict[str, PackedEntry] = {}
 
     def apply(self, endpoint_list: EndpointList) -> None:
-        """Takes in a list or a change of it. The table takes over the entries of a snapshot as its own."""
+        """Applies a snapshot or a delta. The directory keeps a snapshot's dict of entries and modifies it."""
         if endpoint_list.is_snapshot:
             self._replace_all(endpoint_list.packed)
         else:
@@ -51,7 +51,9 @@
             elif self._packed.pop(name, None) is None:
                 unknown.append(name)
         if unknown:
-            log.info("discovery: %d removed that were not listed, such as %s", len(unknown), unknown[0])
+            log.info(
+                "discovery: %d removed endpoints were not listed, for example %s", len(unknown), unknown[0]
+            )
 
     def is_ready(self, name: str) -> bool:
         """Returns whether the endpoint is listed and takes requests."""
@@ -59,9 +61,9 @@
         return packed is not None and is_ready(packed)
 
     def pack_shared(self, entry: EndpointEntry) -> PackedEntry:
-        """Returns the packed form of `entry`: the string kept here, where it has not changed.
+        """Returns the packed form of `entry`: the string stored here if the entry has not changed.
 
-        A snapshot that repeats the list takes little memory beside this table.
+        A snapshot that repeats the list thus shares its strings with the directory and adds little memory.
         """
         packed = pack_entry(entry)
         known = self._packed.get(entry.name)
@@ -71,7 +73,7 @@
         """Returns the packed entry of endpoint `name`.
 
         Raises:
-            KeyError: It is not listed.
+            KeyError: The endpoint is not listed.
         """
         return self._packed[name]
 
--- a/quota_ingress/net/discovery/endpoint.py
+++ b/quota_ingress/net/discovery/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint, as discovery lists it."""
+"""Entry of one endpoint in discovery's list."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """An endpoint's entry in the list. Never changed once made.
+    """An endpoint's entry in the list, treated as immutable.
 
-    It is not frozen, as a frozen one is several times as expensive to make, and lists are long.
+    It is not a frozen dataclass: creating one costs several times as much, and lists are long.
 
     Attributes:
-        name: The same at every ingress.
-        state: Whether it takes requests, drains or has been removed.
-        address: Host and port, as this ingress reaches it.
+        name: Identifies the endpoint; the same at every ingress.
+        state: Whether the endpoint takes requests, is draining or has been removed.
+        address: Host and port at which this ingress reaches the endpoint.
         zone: Name of its failure domain; empty if none was given.
         machine_type: Name of its machine type; empty if none was given.
-        group: Number of the group that it belongs to.
-        weight: Its share of the traffic, relative to other endpoints.
+        group: Number of its group.
+        weight: Share of the traffic relative to other endpoints.
         started_us: Unix time of its last start in microseconds; 0 means long ago.
     """
 
--- a/quota_ingress/net/discovery/endpoint_codec.py
+++ b/quota_ingress/net/discovery/endpoint_codec.py
@@ -1,6 +1,6 @@
-"""Discovery's JSON documents: the only place that knows their keys and words.
+"""Codec of discovery's JSON documents; no other module knows their keys and status values.
 
-A document is the whole list or a change of it:
+A document is a snapshot of the endpoint list or a delta:
 
     {"index": 41, "snapshot": true, "endpoints": [{"name": ..., "address": "HOST:PORT", "status": "up", ...}]}
 """
@@ -27,7 +27,7 @@
     "removed": EndpointState.REMOVED,
 }
 STATUS_BY_STATE = {state: status for status, state in STATE_BY_STATUS.items()}
-DECODE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, OverflowError)  # of a malformed document
+DECODE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, OverflowError)  # of malformed documents
 
 _LIST_PATH = "/discovery/hosts"
 _NAME_KEY = "name"
@@ -41,11 +41,11 @@
 
 
 class EndpointListError(ValueError):
-    """A document of discovery is not what the protocol says."""
+    """A document from discovery does not follow the protocol."""
 
 
 class NamedPackedEntry(NamedTuple):
-    """An entry that was packed as soon as its JSON object had been read."""
+    """The name and packed form of an entry, packed as soon as its JSON object was decoded."""
 
     name: str
     packed: PackedEntry
@@ -55,16 +55,16 @@
     """Decodes one entry of a list.
 
     Raises:
-        EndpointListError: A field is missing, or its value is not what the protocol allows.
+        EndpointListError: A field is missing or has a value that the protocol does not allow.
     """
     try:
         status = str(fields[_STATUS_KEY])
         state = STATE_BY_STATUS.get(status)
         if state is None:
-            raise EndpointListError(f"status {status!r} is unknown")
+            raise EndpointListError(f"endpoint list: unknown status {status!r}")
         weight = float(fields.get("weight", 1.0))
         if not math.isfinite(weight):
-            raise EndpointListError(f"weight {weight} is not finite")
+            raise EndpointListError(f"endpoint list: weight {weight} is not finite")
         return EndpointEntry(
             str(fields[_NAME_KEY]),
             state,
@@ -80,21 +80,21 @@
 
 
 def _decode_address(fields: dict[str, Any], state: EndpointState) -> tuple[str, int]:
-    """Returns host and port; a removed endpoint need not have an address."""
+    """Returns host and port; the address is optional for a removed endpoint."""
     is_required = state is not EndpointState.REMOVED
     address = str(fields[_ADDRESS_KEY] if is_required else fields.get(_ADDRESS_KEY, _NO_ADDRESS))
     host, _, port_text = address.rpartition(":")
     port = int(port_text)
     if not 0 <= port <= _MAX_PORT:
-        raise EndpointListError(f"port {port_text} is out of range")
+        raise EndpointListError(f"endpoint list: port {port_text} is not between 0 and {_MAX_PORT}")
     return host, port
 
 
 def decode_endpoint_list(document: Any) -> EndpointList:
-    """Decodes a whole list or a change of it; its entries may have been packed already.
+    """Decodes a snapshot or a delta; its entries may have been packed already.
 
     Raises:
-        EndpointListError: The document or one of its entries is not what the protocol says.
+        EndpointListError: The document or one of its entries does not follow the protocol.
     """
     try:
         version = int(document[VERSION_KEY])
@@ -106,14 +106,14 @@
 
 
 def as_list_error(error: Exception) -> EndpointListError:
-    """Returns the error to raise for one that reading a document brought about."""
+    """Converts an exception raised while decoding a document to an `EndpointListError`."""
     if isinstance(error, EndpointListError):
         return error
     return EndpointListError(f"endpoint list: {error if isinstance(error, ValueError) else repr(error)}")
 
 
 def _pack_entries(entries: Iterable[Any]) -> dict[str, PackedEntry]:
-    """Returns the entries by name; of a name that comes twice, the last entry counts."""
+    """Returns the packed entries by name; the last entry of a duplicate name wins."""
     by_name: dict[str, PackedEntry] = {}
     duplicate_count = 0
     for entry in entries:
@@ -130,16 +130,16 @@
 
 
 def log_duplicates(count: int) -> None:
-    """Logs how many entries of a list replaced an earlier one of the same name, if any did."""
+    """Logs the number of entries that replaced an earlier one of the same name, unless it is 0."""
     if count:
-        log.warning("discovery: %d entries of a list replace an earlier one of the same name", count)
+        log.warning("discovery: %d entries of an endpoint list replaced earlier ones of the same name", count)
 
 
 def pack_listed_endpoint(fields: dict[str, Any]) -> Any:
-    """An `object_hook` of `json.loads` that packs entries as soon as they are read.
+    """An `object_hook` for `json.loads` that packs each entry as soon as it is decoded.
 
-    A list read whole before it is packed takes ten times the memory. Objects that are no entry
-    stay as they are.
+    A list that is decoded completely before it is packed takes ten times the memory. Objects that are not
+    entries are returned unchanged.
     """
     if _looks_like_endpoint(fields):
         with suppress(*DECODE_ERRORS):
@@ -148,7 +148,7 @@
 
 
 def discard_listed_endpoint(fields: dict[str, Any]) -> Any:
-    """An `object_hook` of `json.loads` that drops entries, where the list is not needed."""
+    """An `object_hook` for `json.loads` that discards entries, for callers that do not need the list."""
     return None if _looks_like_endpoint(fields) else fields
 
 
@@ -157,5 +157,5 @@
 
 
 def list_target(version: int | None, is_watch: bool) -> str:
-    """Returns the target of a request for the whole list, or for a watch on what changes after `version`."""
+    """Returns the request target of a snapshot, or of a watch for changes after `version`."""
     return f"{_LIST_PATH}?watch=1&from={version}" if is_watch else _LIST_PATH
--- a/quota_ingress/net/discovery/endpoint_list.py
+++ b/quota_ingress/net/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list, or a change of it, with its entries in packed form."""
+"""A snapshot or delta of the endpoint list, with its entries in packed form."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """A snapshot of the list, or a delta to the version before.
+    """A snapshot of the list, or a delta to the previous version.
 
     Attributes:
-        version: Number of this version of the list; later versions have greater ones.
-        is_snapshot: Whether this is the whole list; what it does not name has been removed.
-        packed: The entries by the endpoint's name.
+        version: Version number of the list; later versions have greater numbers.
+        is_snapshot: Whether this is the complete list; endpoints missing from it have been removed.
+        packed: The packed entries by endpoint name.
     """
 
     version: int
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_entries(cls, version: int, is_snapshot: bool, entries: Iterable[EndpointEntry]) -> EndpointList:
-        """Returns a list of `entries`."""
+        """Packs `entries` into a snapshot or delta."""
         return cls(version, is_snapshot, {entry.name: pack_entry(entry) for entry in entries})
 
     @property
--- a/quota_ingress/net/discovery/incremental_reader.py
+++ b/quota_ingress/net/discovery/incremental_reader.py
@@ -1,8 +1,8 @@
 """Incremental reader of one long endpoint list: decodes and packs each entry as its text arrives.
 
 A complete list, as text and as decoded values, takes ten times the memory of its packed entries. The reader
-is a coroutine over generators: each yields the number of further characters that it needs, and is resumed
-once these have arrived.
+consists of nested generators: each yields the number of further characters that it needs and is resumed
+once they have arrived.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 from quota_ingress.net.discovery.packed_entry import PackedEntry
 
 MAX_UNREAD_BYTES = 8 * 1024 * 1024
-MAX_LIST_BYTES = 64 * 1024 * 1024  # some 400,000 endpoints
-LONGEST_TOKEN = 16  # characters, at least those of `-Infinity` and of an escape in a string
+MAX_LIST_BYTES = 64 * 1024 * 1024  # about 400,000 endpoints
+MAX_TOKEN_LENGTH = 16  # characters; not less than `-Infinity` or an escape sequence in a string
 
 Value = TypeVar("Value")
-Parsing = Generator[int, None, Value]  # yields how many further characters it needs
+Parsing = Generator[int, None, Value]  # yields the number of further characters needed
 PackEntry = Callable[[EndpointEntry], PackedEntry]
 
-_SPACE = re.compile(r"[ \t\n\r]*")
+_WHITESPACE = re.compile(r"[ \t\n\r]*")
 _COMMA = re.compile(r"[ \t\n\r]*,[ \t\n\r]*")
-_END_OF_DOCUMENT = b"}]"  # bytes that may be the last ones of a list
-_READ_ALREADY = ()  # stands for entries that were packed one by one
+_CLOSING_BRACKETS = b"}]"  # one of them is the last byte of a list
+_ALREADY_PACKED = ()  # placeholder for entries that were packed one by one
 _decoder = json.JSONDecoder()
 
 
 class IncrementalListReader:
-    """Reads one list from text that comes in parts; holds only what has not been decoded yet.
+    """Reads one list from text that arrives in parts; buffers only text that has not been decoded yet.
 
     Attributes:
         is_complete: Whether the end of the list has been read.
@@ -57,24 +57,24 @@
         self._pack = pack
         self._utf8 = codecs.getincrementaldecoder("utf-8")("surrogatepass")
         self._text = ""
-        self._position = 0  # in `_text`, of the first character that has not been read
-        self._pending: list[str] = []  # text that has not been joined to `_text`
+        self._position = 0  # index in `_text` of the first character that has not been decoded
+        self._pending: list[str] = []  # text that has not been appended to `_text`
         self._pending_length = 0  # characters
         self._received_bytes = 0
-        self._last_byte = b" "  # the last one that is no space
+        self._last_byte = b" "  # the last one that is not whitespace
         self._parsing = self._parse_list()
         self._needed = next(self._parsing)
 
     def feed(self, data: bytes, line_ended: bool = False) -> None:
-        """Takes more of the text.
+        """Decodes as much as possible of the text received so far.
 
         Args:
             data: The next bytes.
-            line_ended: Whether a line ends with them. The list may end there, too, with less text than the
-                parser asked for.
+            line_ended: Whether a line ends with `data`. The list may end there although less text has arrived
+                than the parser requested.
 
         Raises:
-            EndpointListError: The text is no endpoint list, or is too long.
+            EndpointListError: The text is not an endpoint list or is too long.
         """
         self._received_bytes += len(data)
         self._last_byte = data.rstrip()[-1:] or self._last_byte
@@ -82,14 +82,17 @@
             text = self._utf8.decode(data)
             self._pending.append(text)
             self._pending_length += len(text)
-            if self._pending_length >= self._needed or (line_ended and self._last_byte in _END_OF_DOCUMENT):
+            if self._pending_length >= self._needed or (line_ended and self._last_byte in _CLOSING_BRACKETS):
                 self._join_pending()
                 self._needed = next(self._parsing)
         except DECODE_ERRORS as error:
             raise as_list_error(error) from None
         unread = len(self._text) - self._position + self._pending_length
         if self._received_bytes > MAX_LIST_BYTES or unread > MAX_UNREAD_BYTES:
-            raise EndpointListError("endpoint list: too long")
+            raise EndpointListError(
+                f"endpoint list: too long: {self._received_bytes} bytes received (limit {MAX_LIST_BYTES}), "
+                f"{unread} characters not decoded (limit {MAX_UNREAD_BYTES})"
+            )
 
     def _join_pending(self) -> None:
         self._text = self._text[self._position :] + "".join(self._pending)
@@ -106,13 +109,13 @@
             yield from self._expect(":")
             if key == ENTRIES_KEY and (yield from self._peek()) == "[":
                 packed = yield from self._parse_entries()
-                fields[key] = _READ_ALREADY
+                fields[key] = _ALREADY_PACKED
             else:
                 fields[key] = yield from self._parse_value()
             if (yield from self._expect(",", "}")) == "}":
                 break
         self.endpoint_list = decode_endpoint_list(fields)
-        if fields[ENTRIES_KEY] == _READ_ALREADY:
+        if fields[ENTRIES_KEY] == _ALREADY_PACKED:
             self.endpoint_list.packed = packed
         self.is_complete = True
         yield from self._expect()
@@ -141,9 +144,9 @@
         return packed
 
     def _complete_values(self) -> Iterator[Any]:
-        """Yields the values that have come completely, up to the last comma with text behind it.
+        """Yields the values that have arrived completely, up to the last comma that is followed by text.
 
-        One pass over them costs less than a generator resumed for each.
+        One pass over them costs less than resuming the generators for each value.
         """
         text = self._text
         with suppress(json.JSONDecodeError):
@@ -160,31 +163,31 @@
         while True:
             try:
                 value, end = _decoder.raw_decode(self._text, self._position)
-                if end < len(self._text) or isinstance(value, dict | list | str):  # a number could go on
+                if end < len(self._text) or isinstance(value, dict | list | str):  # a number may go on
                     self._position = end
                     return value
             except json.JSONDecodeError as error:
-                if not self._may_be_cut_off(error):
+                if not self._may_be_truncated(error):
                     raise
-            yield len(self._text) - self._position  # doubles the text, so that few passes over it are made
+            yield len(self._text) - self._position  # doubles the text to limit the number of passes over it
 
-    def _may_be_cut_off(self, error: json.JSONDecodeError) -> bool:
-        """Returns whether more text could mend the error."""
-        return error.pos + LONGEST_TOKEN >= len(self._text) or "Unterminated" in error.msg
+    def _may_be_truncated(self, error: json.JSONDecodeError) -> bool:
+        """Returns whether the error may disappear when more text arrives."""
+        return error.pos + MAX_TOKEN_LENGTH >= len(self._text) or "Unterminated" in error.msg
 
     def _peek(self) -> Parsing[str]:
-        """Skips spaces and returns the next character without reading it."""
+        """Skips whitespace and returns the next character without consuming it."""
         while True:
-            self._position = _SPACE.match(self._text, self._position).end()  # type: ignore[union-attr]
+            self._position = _WHITESPACE.match(self._text, self._position).end()  # type: ignore[union-attr]
             if self._position < len(self._text):
                 return self._text[self._position]
             yield 1
 
     def _expect(self, *expected: str) -> Parsing[str]:
-        """Reads one of the characters `expected`; without any, nothing but spaces may come."""
+        """Consumes one of the `expected` characters; with none given, accepts only whitespace."""
         found = yield from self._peek()
         if found not in expected:
             alternatives = " or ".join(expected) or "its end"
-            raise EndpointListError(f"endpoint list: {found!r} instead of {alternatives}")
+            raise EndpointListError(f"endpoint list: got {found!r}, expected {alternatives}")
         self._position += 1
         return found
--- a/quota_ingress/net/discovery/list_parser.py
+++ b/quota_ingress/net/discovery/list_parser.py
@@ -1,7 +1,7 @@
 """Parser of the lines in which discovery sends endpoint lists.
 
-A list is mostly one line, but an indented one has many. Short lists are decoded when they are complete; one
-that grows long is handed to an `IncrementalListReader`.
+A list is usually one line, but an indented one has many. Short lists are decoded once they are complete; a
+list that exceeds a threshold is passed to an `IncrementalListReader`.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 
 class LineResult(Enum):
-    """What the end of a line means that completes no list."""
+    """Meaning of a line that does not complete a list."""
 
     HEARTBEAT = auto()  # an empty line between lists
-    INCOMPLETE = auto()  # the list goes on
+    INCOMPLETE = auto()  # more lines of the list follow
 
 
 class EndpointListParser:
-    """Turns lines, which come in parts, into endpoint lists.
+    """Parses endpoint lists from lines that arrive in parts.
 
-    The parser is between lists, or buffers the lines of a short one, or has handed a long one to a reader.
+    The parser is between lists, buffers the lines of a short list, or has passed a long list to a reader.
     """
 
     def __init__(self, pack: PackEntry = pack_entry) -> None:
@@ -48,23 +48,23 @@
         self._reset()
 
     def _reset(self) -> None:
-        self._lines: list[bytes] = []  # complete lines of a list that goes on
-        self._partial_line: list[bytes] = []  # parts of the line that has not ended; empty with a reader
-        self._is_line_blank = True  # of the line that has not ended
+        self._lines: list[bytes] = []  # complete lines of an incomplete list
+        self._partial_line: list[bytes] = []  # parts of the unfinished line; empty with a reader
+        self._is_line_blank = True  # of the unfinished line
         self._buffered_bytes = 0
         self._open_brackets = 0
         self._reader: IncrementalListReader | None = None
 
     @property
     def has_partial_list(self) -> bool:
-        """Whether some of a list has come, but not its end."""
+        """Whether the beginning of a list has arrived, but not its end."""
         return bool(self._lines or self._reader) or not self._is_line_blank
 
     def feed(self, data: bytes) -> None:
-        """Takes some of a line that goes on.
+        """Adds a part of the current line that does not end it.
 
         Raises:
-            EndpointListError: This cannot be a list.
+            EndpointListError: The text cannot become a valid list.
         """
         self._is_line_blank = self._is_line_blank and not data.strip()
         if self._reader:
@@ -75,10 +75,10 @@
             self._start_reader_if_long()
 
     def end_line(self, data: bytes) -> EndpointList | LineResult:
-        """Takes the rest of a line, and returns the list that it completes, if it does.
+        """Ends the current line with `data`, and returns the list if the line completes one.
 
         Raises:
-            EndpointListError: This is no list.
+            EndpointListError: The text is not a valid list.
         """
         if self._reader:
             return self._end_line_of_reader(self._reader, data)
@@ -99,11 +99,15 @@
             self._reset()
             return reader.endpoint_list
         if is_blank:
-            raise EndpointListError("endpoint list: an empty line before its end")
+            raise EndpointListError("endpoint list: empty line before the end of the list")
         return LineResult.INCOMPLETE
 
     def add_line(self, line: bytes) -> Any:
-        """Returns the JSON document that a complete line ends, or None where more lines are to come."""
+        """Returns the JSON document that a complete line ends, or None if more lines are needed.
+
+        Raises:
+            EndpointListError: The text is not valid JSON.
+        """
         if not self._lines:
             try:
                 return json.loads(line)
@@ -124,7 +128,7 @@
             raise as_list_error(error) from None
 
     def _start_reader_if_long(self) -> None:
-        """Hands a list that has grown long to a reader."""
+        """Passes a list that exceeds the threshold to an incremental reader."""
         if self._buffered_bytes <= INCREMENTAL_THRESHOLD_BYTES:
             return
         self._reader = IncrementalListReader(self._pack)
@@ -139,8 +143,8 @@
 
 
 def _bracket_balance(line: bytes) -> int:
-    """Returns how many more brackets and braces the line opens than it closes, outside strings."""
-    without_strings = _STRING.sub(b"", line)  # a string never goes over the end of a line
+    """Returns the number of opened minus closed brackets and braces of a line, outside strings."""
+    without_strings = _STRING.sub(b"", line)  # a JSON string never spans lines
     opened = without_strings.count(b"{") + without_strings.count(b"[")
     closed = without_strings.count(b"}") + without_strings.count(b"]")
     return opened - closed
--- a/quota_ingress/net/discovery/packed_entry.py
+++ b/quota_ingress/net/discovery/packed_entry.py
@@ -1,12 +1,12 @@
-"""Compact form of an endpoint's entry: one string in place of an object with eight fields.
+"""Compact form of an endpoint's entry: one string instead of an object with eight fields.
 
-A process of 64 MB has to hold a list of 90,000 endpoints, for which objects are too large:
+A process limited to 64 MB must hold a list of 90,000 endpoints, for which objects are too large. Format:
 
-    <state><port> <group> <weight> <started> <host length> <zone length> <host><zone><kind>
+    <state><port> <group> <weight> <started> <host length> <zone length> <host><zone><machine type>
 
 `state` is one character; `started` is in hexadecimal; lengths count characters. The endpoint's name is not
-part of it: it is the key under which the string is kept. Processes of an upgrade exchange entries in this
-form, so it must not change between versions.
+part of the string but the key under which it is stored. The two processes of an upgrade exchange entries in
+this form, so it must not change between versions.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     _REMOVED_CODE: EndpointState.REMOVED,
 }
 _CODE_BY_STATE = {state: code for code, state in _STATE_BY_CODE.items()}
-_NUMBER_FIELDS = 6
+_NUMERIC_FIELDS = 6
 
 
 def pack_entry(entry: EndpointEntry) -> PackedEntry:
@@ -43,17 +43,17 @@
     """Returns the entry of endpoint `name`.
 
     Raises:
-        ValueError: `packed` is no packed entry. KeyError or IndexError are possible, too.
+        ValueError: `packed` is not a packed entry; KeyError or IndexError may be raised instead.
     """
-    port, group, weight, started, host_length, zone_length, words = packed[1:].split(" ", _NUMBER_FIELDS)
+    port, group, weight, started, host_length, zone_length, strings = packed[1:].split(" ", _NUMERIC_FIELDS)
     zone_start = int(host_length)
-    kind_start = zone_start + int(zone_length)
+    machine_type_start = zone_start + int(zone_length)
     return EndpointEntry(
         name,
         _STATE_BY_CODE[packed[0]],
-        (words[:zone_start], int(port)),
-        words[zone_start:kind_start],
-        words[kind_start:],
+        (strings[:zone_start], int(port)),
+        strings[zone_start:machine_type_start],
+        strings[machine_type_start:],
         int(group),
         float(weight),
         int(started, 16),
