--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -1,8 +1,8 @@
-"""Operators' overrides of single endpoints, laid over the endpoint list that discovery sends.
+"""Operators' overrides of single endpoints, applied to the endpoint list that discovery sends.
 
-An endpoint that operators have taken offline (a ban) is published as draining, whatever discovery says. One
-that they have put back online is published as started at that moment, so that it gets a slow start, until
-discovery reports a later start.
+An endpoint that operators have taken offline (a ban) is published as draining if discovery lists it as ready.
+One that they have put back online is published as started at that moment, so that it gets a slow start, until
+discovery reports another start.
 """
 
 from __future__ import annotations
@@ -19,59 +19,63 @@
 from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
 from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
-MAX_REMOVED_NAMES = 5000  # that operators may still call by: six hours' worth of the largest fleet
+MAX_REMOVED_NAMES = 5000  # that operators may still use: six hours of removals in the largest fleet
 ENTRIES_PER_BATCH = 1000
 
 PublishList = Callable[[EndpointList, ListKind | None], None]
 
 
 class IncompleteListError(ValueError):
-    """Some entries of the other process's endpoint list did not arrive."""
+    """Some entries of the other process's endpoint list have not arrived."""
 
 
 class OverridesSnapshot(NamedTuple):
-    """The operators' overrides, and the size of the list that they are laid over, for another process."""
+    """Overrides, and version and size of their endpoint list, for the other process of an upgrade."""
 
     list_version: int
     endpoint_count: int
     offline: tuple[str, ...]
-    back_online_at: Mapping[str, int]  # us of the shared clock, by name, of those put back online
+    back_online_at: Mapping[str, int]  # us on the shared clock, by endpoint name
     removed_names: tuple[str, ...]
 
 
 class OperatorOverrides:
-    """The endpoints that operators have taken offline and put back online."""
+    """Endpoints that operators have taken offline or put back online.
+
+    Attributes:
+        offline: Names of the endpoints that are offline.
+        list_version: Version of the current endpoint list.
+    """
 
     def __init__(self, now: Callable[[], int], publish: PublishList, directory: EndpointDirectory) -> None:
         """Starts without overrides.
 
         Args:
-            now: The process's clock, in microseconds.
-            publish: Takes each endpoint list and change with the overrides laid over it.
-            directory: The table of endpoints into which `publish` takes them.
+            now: Returns the process's clock in microseconds.
+            publish: Called with each snapshot and delta after the overrides have been applied.
+            directory: The endpoints as published; `publish` updates it.
         """
         self.offline: set[str] = set()
         self.list_version = 0
-        self._back_online_at: dict[str, int] = {}  # us, by name: when operators put it back online
-        self._reported_start_when_back: dict[
-            str, int
-        ] = {}  # as discovery said then: a later start ends the override
+        self._back_online_at: dict[str, int] = {}  # us, by name
+        # Start that discovery reported at that time (us, by name); another reported start ends the override.
+        self._reported_start_when_back: dict[str, int] = {}
         self._now = now
         self._publish = publish
         self._directory = directory
         self._as_discovered: dict[str, EndpointEntry] = {}  # of listed endpoints with an override
-        self._removed_names: OrderedDict[str, None] = OrderedDict()  # the oldest first
-        self._incoming_entries: dict[str, PackedEntry] = {}  # by name, of the other process's list
+        self._removed_names: OrderedDict[str, None] = OrderedDict()  # oldest first
+        self._incoming_entries: dict[str, PackedEntry] = {}  # of the other process's list, by name
 
     @property
     def entries(self) -> Mapping[str, EndpointEntry]:
-        """The endpoint list with the overrides laid over it."""
+        """The current endpoint list, with the overrides applied."""
         return self._directory
 
     def apply_list(self, endpoints: EndpointList, kind: ListKind | None = None) -> None:
-        """Lays the overrides over a list or a change from discovery, in place, and publishes it.
+        """Applies the overrides to a snapshot or delta from discovery, in place, and publishes it.
 
-        The cost of a change depends on the size of the change, not of the list.
+        The cost of a delta depends on the length of the delta, not of the list.
         """
         self._forget_removed(endpoints)
         packed = endpoints.packed
@@ -84,7 +88,7 @@
         self._publish(endpoints, kind)
 
     def snapshot(self) -> OverridesSnapshot:
-        """Returns the overrides for another process of this ingress."""
+        """Returns the overrides for the other process of an upgrade."""
         unlisted = (self._removed_names.keys() | self.offline) - self._directory.keys()
         return OverridesSnapshot(
             list_version=self.list_version,
@@ -95,13 +99,13 @@
         )
 
     def entry_batches(self) -> Iterator[dict[str, PackedEntry]]:
-        """Yields the list as discovery sent it, packed, some entries at a time to bound the memory taken."""
+        """Yields the packed list as discovery sent it, in batches to bound memory."""
         names = iter(self._directory)
         while batch := list(islice(names, ENTRIES_PER_BATCH)):
             yield {name: self._packed_as_discovered(name) for name in batch}
 
     def restore_entries(self, entries: Mapping[str, PackedEntry]) -> None:
-        """Takes a batch of the other process's list, before `restore`."""
+        """Buffers a batch of the other process's list until `restore`."""
         self._incoming_entries.update(entries)
 
     def restore(self, snapshot: OverridesSnapshot, endpoints: EndpointList | None = None) -> EndpointList:
@@ -109,16 +113,18 @@
 
         Args:
             snapshot: The overrides.
-            endpoints: The list, from a version that sends it whole; None: it came in batches.
+            endpoints: The list, if the other process sent it in one piece; None if it came in batches.
 
         Raises:
-            IncompleteListError: Batches are missing. The overrides are not taken over, either.
+            IncompleteListError: Entries are missing; the overrides are not taken over.
         """
         incoming = self._incoming_entries
         self._incoming_entries = {}
         if endpoints is None:
             if len(incoming) != snapshot.endpoint_count:
-                raise IncompleteListError(f"{len(incoming)} backends of {snapshot.endpoint_count}")
+                raise IncompleteListError(
+                    f"endpoint list incomplete: {len(incoming)} of {snapshot.endpoint_count} entries received"
+                )
             endpoints = EndpointList(snapshot.list_version, True, incoming)
         for name in snapshot.removed_names:
             self._remember_name(name)
@@ -127,11 +133,11 @@
         return endpoints
 
     def back_online_at(self, name: str) -> int:
-        """Returns when operators put the endpoint back online, in us; 0 where another start counts."""
+        """Returns when operators put the endpoint back online (us), or 0 without such an override."""
         return self._back_online_at.get(name, 0)
 
     def apply_operator_call(self, name: str, is_offline: bool) -> None:
-        """Follows a call that the other process of this ingress has answered."""
+        """Applies an operator's call that the other process of an upgrade has answered."""
         self._remember_name(name)
         if is_offline:
             self.take_offline(name)
@@ -148,7 +154,7 @@
         return True
 
     def put_online(self, name: str) -> bool:
-        """Ends the ban, however often it was called for. Returns False if the endpoint was never listed."""
+        """Ends the ban, even one requested several times. Returns False if the endpoint was never listed."""
         if not self._is_known(name):
             return False
         if name in self.offline:
@@ -201,9 +207,9 @@
             return replace(entry, state=EndpointState.DRAINING)
         if entry.name not in self._back_online_at:
             return entry
-        # Discovery's moments and ours are of two clocks, so only a change of discovery's own moment counts.
-        discovered_start = self._reported_start_when_back.setdefault(entry.name, entry.started_us)
-        if discovered_start != entry.started_us:
+        # Discovery's start times and ours are of different clocks, so only a change of the former counts.
+        previous_reported_start = self._reported_start_when_back.setdefault(entry.name, entry.started_us)
+        if previous_reported_start != entry.started_us:
             del self._back_online_at[entry.name]
             del self._reported_start_when_back[entry.name]
             return entry
--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -1,23 +1,25 @@
-"""When endpoints started, on this process's own clock: no decision rests on a correct wall clock.
+"""Start times of endpoints on this process's own clock, independent of a correct wall clock.
 
-Discovery reports a start as a moment of the fleet's clock. This machine's wall clock may be off by seconds or
-by an hour, in either direction, and a fresh process cannot tell. Two estimates of an endpoint's age are at
-hand:
+Discovery reports a start as a time on the fleet's clock. This machine's wall clock may be off by seconds or
+by an hour, in either direction, and a process that has just started cannot detect that. There are two
+estimates of an endpoint's age:
 
-- by the wall clock: now less the reported moment; as wrong as the clock is;
-- by the order of the reported moments: the fleet's clock has reached the latest of them, so an endpoint that
-  started ten seconds before the latest is at least ten seconds old; right, but at times far too low.
+- from the wall clock: now minus the reported start; its error is that of the clock;
+- from the order of the reported starts: the fleet's clock has reached the latest of them, so an endpoint that
+  started ten seconds before the latest is at least ten seconds old; a correct lower bound, but sometimes far
+  too low.
 
-The lower one counts, from the first report of a start on; the second grows as later starts are reported. As
-reports come late, the wall clock is trusted beyond the second one, but only by the time by which all ages may
-be wrong without a cold endpoint getting more than its budget (`age_tolerance`).
+The lower estimate is used, beginning with the first report of a start; the second one grows as later starts
+are reported. Since reports are delayed, the wall clock may raise the age above the second estimate, but only
+by the error that all ages may have without a cold endpoint receiving more than its budget (`age_tolerance`).
 
-So a clock that is ahead makes no cold endpoint warm, and one that is behind keeps a warm one cold for one
-warm-up at the longest, as its age grows from the report on. A start that is reported as earlier than the same
-endpoint's start before happens now: that clock has been stepped. One that lies further back than any step of
-the clock explains is long ago.
+Therefore a wall clock that is ahead never makes a cold endpoint count as warm, and one that is behind keeps a
+warm endpoint cold for one warm-up at most, since its age grows from the report on. If an endpoint's reported
+start is earlier than its previous one, the clock of the report has been stepped back, and the start counts as
+happening now. A start further in the past than any clock step explains counts as long ago.
 
-Pure: moments are microseconds, `now` of the process's clock, which is monotonic.
+This module performs no I/O and reads no clock. Times are in microseconds; `now` is that of the process's
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -36,9 +38,9 @@
     """The last start of an endpoint.
 
     Attributes:
-        reported_at: The moment on the fleet's clock.
-        by_wall_clock: The moment on this process's clock, were its wall clock right.
-        local: The moment on this process's clock that counts.
+        reported_at: Time on the fleet's clock.
+        by_wall_clock: Time on this process's clock, assuming that its wall clock is correct.
+        local: Time on this process's clock that is in use.
     """
 
     reported_at: int
@@ -47,25 +49,25 @@
 
 
 class StartTimes:
-    """The reported starts, by the endpoint's name."""
+    """Converts the starts that discovery reports to this process's clock, by endpoint name."""
 
     def __init__(self, age_tolerance: int = 0) -> None:
-        """Lets all ages be too great by `age_tolerance` microseconds."""
+        """Allows ages to be too great by up to `age_tolerance` microseconds."""
         self._age_tolerance = age_tolerance
-        self._fleet_clock_lead: int | None = None  # us, at the least, ahead of this process's clock
+        self._fleet_clock_lead: int | None = None  # us ahead of this process's clock, at least
         self._starts: dict[str, _Start] = {}
 
     def observe(self, reported_at: int, now: int) -> list[str]:
-        """Notes that the fleet's clock has reached a reported start.
+        """Records that the fleet's clock has reached a reported start.
 
-        All starts of a list are observed before `local_start` is asked for the first of them.
+        All starts of a list must be observed before the first call of `local_start` for that list.
 
         Returns:
-            The names of the endpoints that are older by this than they counted for.
+            The names of the endpoints whose age this start raises.
         """
         lead = reported_at - now
-        is_known = self._fleet_clock_lead is not None and lead <= self._fleet_clock_lead
-        if reported_at <= 0 or is_known:
+        is_covered = self._fleet_clock_lead is not None and lead <= self._fleet_clock_lead
+        if reported_at <= 0 or is_covered:
             return []
         self._fleet_clock_lead = lead
         older: list[str] = []
@@ -77,12 +79,12 @@
         return older
 
     def local_start(self, name: str, reported_at: int, now: int) -> int:
-        """Returns the latest moment on this process's clock that the start can have had, as far as is known.
+        """Returns the latest possible time of the start on this process's clock, given the reports so far.
 
         Args:
-            name: The endpoint.
-            reported_at: The start as a moment of the fleet's clock, or LONG_AGO.
-            now: This process's clock.
+            name: Name of the endpoint.
+            reported_at: The start on the fleet's clock, or LONG_AGO.
+            now: Current time on this process's clock.
         """
         if reported_at <= 0 or now - reported_at > MAX_CLOCK_STEP_US:
             self._starts.pop(name, None)
@@ -96,12 +98,12 @@
         if previous is None or reported_at > previous.reported_at:
             start.local = self._estimate(start, self._fleet_clock_lead)
         else:
-            start.by_wall_clock = now  # that clock has been stepped back: only the report counts
+            start.by_wall_clock = now  # clock stepped back: the time of the report counts
         self._starts[name] = start
         return start.local
 
     def forget(self, name: str) -> None:
-        """Drops an endpoint that is not listed any more."""
+        """Discards an endpoint that is no longer listed."""
         self._starts.pop(name, None)
 
     def _estimate(self, start: _Start, fleet_clock_lead: int) -> int:
@@ -112,8 +114,8 @@
 def age_tolerance(safety: Safety) -> int:
     """Returns the microseconds by which ages may be too great without overloading a cold endpoint.
 
-    They are the part of a warm-up that the unused part of the overload budget (SLOW_START_BUDGET_FRACTION)
-    covers at its very start.
+    This is the part of the warm-up that the unused part of the overload budget (SLOW_START_BUDGET_FRACTION)
+    covers at the beginning of the warm-up.
     """
     initial = safety.initial_capacity_fraction
     if initial >= 1:
--- a/quota_ingress/net/discovery/watch_connection.py
+++ b/quota_ingress/net/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""The connection of one call to discovery: fetches a snapshot if one is needed, then watches for changes."""
+"""Connection of one call to discovery: fetches a snapshot if one is needed, then watches for changes."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from quota_ingress.net.discovery.watch_retry import HEARTBEAT_TIMEOUT, CallEnd, WatchRetryPolicy
 from quota_ingress.net.http import MAX_HEAD_BYTES
 
-FIRST_ERROR_STATUS = 300  # lists come with statuses below
+FIRST_ERROR_STATUS = 300  # lists are sent with lower statuses
 
 log = logging.getLogger(__name__)
 
 
 class WatchOwner(Protocol):
-    """What a connection needs of the watch that opened it."""
+    """Interface to the watch that opened the connection."""
 
     retry: WatchRetryPolicy
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port of the discovery."""
+        """Host and port of the discovery service."""
 
     @property
     def version(self) -> int | None:
-        """The current version of the list."""
+        """The current version of the list, or None without one."""
 
     @property
     def directory(self) -> EndpointDirectory | None:
         """The current list, if it may be long."""
 
     def receive(self, endpoint_list: EndpointList) -> None:
-        """Takes a list or a change."""
+        """Applies a snapshot or a delta."""
 
 
 class CallPhase(Enum):
-    """What the current request of the call asked for."""
+    """Type of the current request of a call."""
 
     SNAPSHOT = auto()
     WATCH = auto()
@@ -54,16 +54,16 @@
     """One call to discovery.
 
     Attributes:
-        transport: The connection, once it is up.
+        transport: The connection, once it is established.
         closed: Set once the connection has ended.
         end: How the call ended.
-        has_message: Whether a list or a heartbeat has come.
+        has_message: Whether a list or a heartbeat has been received.
     """
 
     transport: asyncio.Transport
 
     def __init__(self, owner: WatchOwner, needs_snapshot: bool) -> None:
-        """Hands lists to `owner`; with `needs_snapshot`, the watch goes on from a snapshot fetched first."""
+        """Passes lists to `owner`; with `needs_snapshot`, fetches a snapshot before it opens the watch."""
         self.closed = asyncio.Event()
         self.end = CallEnd.DISCONNECTED
         self.has_message = False
@@ -75,8 +75,8 @@
         self._list_parser = EndpointListParser(pack_entry if directory is None else directory.pack_shared)
         self._head_bytes = 0
         self._is_head_complete = False
-        self._is_answer_complete = False
-        self._answer_has_message = False
+        self._is_response_complete = False
+        self._response_has_message = False
         self._unread_body: list[bytes] = []
         self._silence_timer: asyncio.TimerHandle | None = None
         self._silence_timeout = HEARTBEAT_TIMEOUT  # s
@@ -84,72 +84,74 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sends the first request."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self._last_byte_at = self._loop.time()
         self._silence_timeout = self._owner.retry.first_byte_timeout(self._last_byte_at)
         self._send_request()
         self._check_silence()
 
     def data_received(self, data: bytes) -> None:
-        """Reads some of the answer."""
+        """Parses a part of a response; aborts the call if the response is an error or malformed."""
         self._last_byte_at = self._loop.time()
         self._silence_timeout = HEARTBEAT_TIMEOUT
         try:
             self._http_parser.feed_data(data)
             if self._http_parser.get_status_code() >= FIRST_ERROR_STATUS:
-                self._abort(CallEnd.REJECTED, "not a list")
+                self._abort(
+                    CallEnd.REJECTED, f"call rejected with status {self._http_parser.get_status_code()}"
+                )
                 return
             self._check_head_size(len(data))
             self._read_body()
-            if self._is_answer_complete:
-                self._finish_answer()
+            if self._is_response_complete:
+                self._finish_response()
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError, RecursionError) as error:
             self._abort(CallEnd.MALFORMED, str(error))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the call."""
+        """Marks the call as ended."""
         if self._silence_timer:
             self._silence_timer.cancel()
         self.closed.set()
 
     def on_headers_complete(self) -> None:
-        """Called by the HTTP parser at the end of an answer's head."""
+        """Called by the HTTP parser at the end of a response's header section."""
         self._is_head_complete = True
 
     def on_body(self, part: bytes) -> None:
-        """Called by the HTTP parser with some of an answer's body."""
+        """Called by the HTTP parser with a part of a response's body."""
         self._unread_body.append(part)
 
     def on_message_complete(self) -> None:
-        """Called by the HTTP parser at the end of an answer."""
-        self._is_answer_complete = True
+        """Called by the HTTP parser at the end of a response."""
+        self._is_response_complete = True
 
     def _send_request(self) -> None:
         host, port = self._owner.address
         target = list_target(self._owner.version, is_watch=self._phase is CallPhase.WATCH)
         self._head_bytes = 0
         self._is_head_complete = False
-        self._is_answer_complete = False
-        self._answer_has_message = False
+        self._is_response_complete = False
+        self._response_has_message = False
         self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
 
     def _check_head_size(self, received_bytes: int) -> None:
         if not self._is_head_complete:
             self._head_bytes += received_bytes
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise EndpointListError("head of the answer: too long")
+            raise EndpointListError(f"response header section exceeds {MAX_HEAD_BYTES} bytes")
 
     def _read_body(self) -> None:
         parts = self._unread_body
         self._unread_body = []
         for part in parts:
-            *line_ends, begun_line = part.split(b"\n")
+            *line_ends, partial_line = part.split(b"\n")
             for line_end in line_ends:
                 self._end_line(line_end)
-            self._list_parser.feed(begun_line)
+            self._list_parser.feed(partial_line)
 
-    def _end_line(self, rest: bytes) -> None:
-        result = self._list_parser.end_line(rest)
+    def _end_line(self, line_end: bytes) -> None:
+        result = self._list_parser.end_line(line_end)
         if result is LineResult.INCOMPLETE:
             return
         if result is LineResult.HEARTBEAT and self._phase is CallPhase.SNAPSHOT:
@@ -157,24 +159,24 @@
         if isinstance(result, EndpointList):
             self._owner.receive(result)
         self.has_message = True
-        self._answer_has_message = True
+        self._response_has_message = True
         self._owner.retry.on_message(self._last_byte_at)
 
-    def _finish_answer(self) -> None:
+    def _finish_response(self) -> None:
         if self._phase is CallPhase.WATCH:
-            self.end = CallEnd.DISCONNECTED if self._answer_has_message else CallEnd.EMPTY
+            self.end = CallEnd.DISCONNECTED if self._response_has_message else CallEnd.EMPTY
             self.transport.close()
             return
-        self._end_line(b"")  # a snapshot need not end its line
+        self._end_line(b"")  # a snapshot may lack the final newline
         self._phase = CallPhase.WATCH
-        if self._list_parser.has_partial_list or not self._answer_has_message:
-            raise EndpointListError("endpoint list: incomplete snapshot")
+        if self._list_parser.has_partial_list or not self._response_has_message:
+            raise EndpointListError("endpoint list: response ended without a complete snapshot")
         self._send_request()
 
     def _check_silence(self) -> None:
-        """Aborts a call that has gone silent.
+        """Aborts a call on which no data has arrived for the timeout.
 
-        Where discovery is cut off, the connection stays open: missing heartbeats are the only sign.
+        If discovery becomes unreachable, the connection stays open: missing heartbeats are the only sign.
         """
         time_left = self._last_byte_at + self._silence_timeout - self._loop.time()
         if time_left <= 0:
--- a/quota_ingress/net/discovery/watch_retry.py
+++ b/quota_ingress/net/discovery/watch_retry.py
@@ -1,9 +1,9 @@
-"""When a call to discovery is followed by the next one; no clock and no I/O of its own.
+"""Retry policy of calls to discovery; performs no I/O and reads no clock.
 
-All moments are seconds of one monotonic clock. A change has to be in force 6 s after discovery had it and
-could be reached, whatever a failed, rejected or abandoned call otherwise allows. Limits for each single step
-would add up where steps follow one another, so there is one deadline: it runs from the moment since when the
-list held may be stale, and both waits and the timeout of a silent call are cut to what it leaves.
+All times are seconds of one monotonic clock. A change must be in force within 6 s of the moment at which
+discovery has it and is reachable, even if calls fail, are rejected or are aborted. Separate limits for each
+step would add up over consecutive steps, so there is a single deadline: it runs from the moment at which the
+current list may have become stale, and limits both the waits and the timeout of a silent call.
 """
 
 from __future__ import annotations
@@ -15,88 +15,86 @@
 
 from quota_ingress.net.backoff import Backoff, BackoffRange
 
-NOTIFICATION_DEADLINE = 6.0  # s after which a change counts as notified
+NOTIFICATION_DEADLINE = 6.0  # s after which the ingress is expected to know a change
 CONNECT_TIMEOUT = 1.0  # s
 HEARTBEAT_TIMEOUT = 3.0  # s with no byte: a heartbeat is due every 2 s
-FINAL_CALLS_TIME = (
-    CONNECT_TIMEOUT + 0.6
-)  # s of the deadline kept for a connect that times out, and one more call
-MIN_FIRST_BYTE_TIMEOUT = 0.5  # s, however little time is left: the agent answers at once
-RECONNECT_BACKOFF = BackoffRange(0.02, 0.1)  # the agent is on this machine, so calls to it cost little
-FAILED_CALL_BACKOFF = BackoffRange(0.1, 1.0)  # after an answer that brought no list
-QUEUED_REJECTION_TIME = 0.5  # s after which a rejected call has waited in a queue of an overloaded discovery
-FLEET_CALL_RATE = 4.0  # calls a second by all ingresses to a discovery that queues and rejects them
-MIN_CALL_INTERVAL = 0.1  # s between an answer and the next call
-TRACKED_CALLS = 3  # the deadline holds over the last two calls and what came before them
+FINAL_CALLS_TIME = CONNECT_TIMEOUT + 0.6  # s of the deadline reserved for a connect timeout and one more call
+MIN_FIRST_BYTE_TIMEOUT = 0.5  # s, even if less time is left: the agent answers immediately
+RECONNECT_BACKOFF = BackoffRange(0.02, 0.1)  # s; the agent is on this machine, so calls are cheap
+FAILED_CALL_BACKOFF = BackoffRange(0.1, 1.0)  # s; after a response without a list
+QUEUED_REJECTION_TIME = 0.5  # s; a call rejected later has waited in the queue of an overloaded discovery
+FLEET_CALL_RATE = 4.0  # calls per second of all ingresses to a discovery that queues and rejects calls
+MIN_CALL_INTERVAL = 0.1  # s between a response and the next call
+TRACKED_CALLS = 3  # an expired deadline restarts at the oldest: it covers two calls and the time before
 
 
 class CallEnd(Enum):
     """How a call to discovery, or the watch that it opened, ended."""
 
-    DISCONNECTED = auto()  # not connected, or the connection broke
-    SILENT = auto()  # no heartbeat in time
-    EMPTY = auto()  # the answer ended in order without a single line
+    DISCONNECTED = auto()  # connection failed or was lost
+    SILENT = auto()  # heartbeat timeout
+    EMPTY = auto()  # the response ended properly without a line
     MALFORMED = auto()
     REJECTED = auto()
 
 
 class WatchRetryPolicy:
-    """Waits and timeouts of the calls to discovery, under one deadline over all of them."""
+    """Computes waits and timeouts of calls to discovery under one deadline for all of them."""
 
     def __init__(
         self,
         fleet_size: int,
-        first_deadline: float = NOTIFICATION_DEADLINE,
+        first_list_deadline: float = NOTIFICATION_DEADLINE,
         random_fraction: Callable[[], float] = random.random,
     ) -> None:
-        """Starts with no call made.
+        """Creates a policy for which no call has been made.
 
         Args:
-            fleet_size: Ingresses that share the discovery.
-            first_deadline: Seconds in which the first list has to come.
-            random_fraction: Draws evenly from 0 to 1.
+            fleet_size: Number of ingresses that share the discovery service.
+            first_list_deadline: Seconds within which the first list must arrive.
+            random_fraction: Draws uniformly from 0 to 1.
         """
         self._fleet_wait = fleet_size / FLEET_CALL_RATE
-        self._next_call_within = first_deadline - FINAL_CALLS_TIME  # s after `_stale_since`
+        self._next_call_within = first_list_deadline - FINAL_CALLS_TIME  # s after `_stale_since`
         self._random_fraction = random_fraction
         self._reconnect_backoff = Backoff(*RECONNECT_BACKOFF, random_fraction)
         self._failed_call_backoff = Backoff(*FAILED_CALL_BACKOFF, random_fraction)
-        self._stale_since = 0.0  # changes before this have come, or have been late for several calls
+        self._stale_since = 0.0  # earlier changes have arrived or been late for several calls
         self._call_starts: deque[float] = deque(maxlen=TRACKED_CALLS)
-        self._was_queued = False  # the last call waited in a queue and was rejected
+        self._was_queued = False  # the last call was rejected after waiting in a queue
 
     def on_call(self, now: float) -> None:
-        """Notes that a call begins, with its connect."""
+        """Records that a call begins to connect."""
         if not self._call_starts:
             self._stale_since = now
         self._call_starts.append(now)
 
     def on_message(self, now: float) -> None:
-        """Notes that a list or a heartbeat has come: the current list is up to date."""
+        """Records that a list or a heartbeat has arrived: the current list is up to date."""
         self._stale_since = now
         self._was_queued = False
         self._next_call_within = NOTIFICATION_DEADLINE - FINAL_CALLS_TIME
 
     def on_call_success(self, end: CallEnd) -> None:
-        """Notes that a call which has ended by `end` had brought a message."""
+        """Resets backoffs after a call that received a message and ended with `end`."""
         self._reconnect_backoff.on_success()
-        if end in (CallEnd.DISCONNECTED, CallEnd.SILENT):  # other ends may come again
+        if end in (CallEnd.DISCONNECTED, CallEnd.SILENT):  # other ends are likely to recur
             self._failed_call_backoff.on_success()
 
     def first_byte_timeout(self, now: float) -> float:
-        """Returns the seconds that a call may take to its first byte."""
+        """Returns the timeout in seconds for the first byte of a response."""
         return min(HEARTBEAT_TIMEOUT, max(MIN_FIRST_BYTE_TIMEOUT, self._time_left(now)))
 
     def next_wait(self, end: CallEnd, now: float) -> float:
-        """Returns the seconds to wait before the next call, after one that ended by `end`."""
-        if end is CallEnd.SILENT:  # that took long enough
+        """Returns the seconds to wait before the next call, after one that ended with `end`."""
+        if end is CallEnd.SILENT:  # the timeout was a sufficient wait
             return 0.0
         if end is CallEnd.DISCONNECTED:
             return self._reconnect_backoff.next_wait()
-        last_call = self._call_starts[-1]
-        is_queued = end is CallEnd.REJECTED and now - last_call >= QUEUED_REJECTION_TIME
-        if is_queued and self._was_queued:  # discovery is reachable, and no more than overloaded
-            self._stale_since = max(self._stale_since, last_call)
+        last_call_start = self._call_starts[-1]
+        is_queued = end is CallEnd.REJECTED and now - last_call_start >= QUEUED_REJECTION_TIME
+        if is_queued and self._was_queued:  # discovery is reachable, only overloaded
+            self._stale_since = max(self._stale_since, last_call_start)
         self._was_queued = is_queued
         time_left = max(MIN_CALL_INTERVAL, self._time_left(now))
         if is_queued and self._fleet_wait > FAILED_CALL_BACKOFF.longest:
@@ -104,9 +102,9 @@
         return self._failed_call_backoff.next_wait(time_left)
 
     def _time_left(self, now: float) -> float:
-        """Returns the seconds until the next call has to begin.
+        """Returns the seconds until the next call must begin.
 
-        A deadline that has passed slides on to the oldest of the tracked calls.
+        An expired deadline restarts at the oldest of the tracked calls.
         """
         if now >= self._stale_since + self._next_call_within:
             self._stale_since = max(self._stale_since, self._call_starts[0])
