--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The table of all listed endpoints."""
+"""The directory of listed endpoints."""
 
 from __future__ import annotations
 
--- a/tests/test_incremental_reader.py
+++ b/tests/test_incremental_reader.py
@@ -1,4 +1,4 @@
-"""Long endpoint lists, read entry by entry as their text arrives."""
+"""Long endpoint lists, decoded entry by entry as their text arrives."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 TEXT = st.text(max_size=8)
 
 
-def read(data: bytes, cut: int) -> EndpointList:
-    """A list whose text comes in parts of `cut` bytes, and is long from its first byte on."""
+def parse_in_parts(data: bytes, part_size: int) -> EndpointList:
+    """Parses a list whose text arrives in parts of `part_size` bytes."""
     parser = EndpointListParser()
     *lines, rest = data.split(b"\n")
     for line in [*lines, rest]:
-        parts = [line[at : at + cut] for at in range(0, len(line), cut)]
+        parts = [line[start : start + part_size] for start in range(0, len(line), part_size)]
         for part in parts:
             parser.feed(part)
-        if isinstance(found := parser.end_line(b""), EndpointList):
-            return found
-        assert found is LineResult.INCOMPLETE
-    raise AssertionError("no end")
+        if isinstance(result := parser.end_line(b""), EndpointList):
+            return result
+        assert result is LineResult.INCOMPLETE
+    raise AssertionError("the parser found no end of the list")
 
 
 @examples(max_examples=40, deadline=None)
@@ -52,16 +52,21 @@
     st.booleans(),
     st.integers(0, 99),
 )
-def test_a_long_list_is_decoded_like_a_short_one_however_it_is_cut(
-    endpoints: list[dict[str, Any]], indent: int | None, is_ascii: bool, cut: int, first: bool, long: int
+def test_a_long_list_is_decoded_like_a_short_one_however_it_is_split(
+    endpoints: list[dict[str, Any]],
+    indent: int | None,
+    is_ascii: bool,
+    part_size: int,
+    entries_first: bool,
+    threshold: int,
 ) -> None:
     fields = {"index": 12, "snapshot": True, "more": {"endpoints": [1, "}"]}}
-    raw = {"endpoints": endpoints} | fields if first else fields | {"endpoints": endpoints}
-    data = json.dumps(raw, indent=indent, ensure_ascii=is_ascii).encode()
-    with pytest.MonkeyPatch.context() as always:
-        always.setattr(list_parser, "INCREMENTAL_THRESHOLD_BYTES", long)
-        found = read(data, cut)
-    assert (found.version, found.is_snapshot, found.packed) == (
+    document = {"endpoints": endpoints} | fields if entries_first else fields | {"endpoints": endpoints}
+    data = json.dumps(document, indent=indent, ensure_ascii=is_ascii).encode()
+    with pytest.MonkeyPatch.context() as monkeypatch:
+        monkeypatch.setattr(list_parser, "INCREMENTAL_THRESHOLD_BYTES", threshold)
+        parsed = parse_in_parts(data, part_size)
+    assert (parsed.version, parsed.is_snapshot, parsed.packed) == (
         12,
         True,
         decode_endpoint_list(json.loads(data)).packed,
@@ -69,16 +74,16 @@
 
 
 @pytest.mark.parametrize(
-    ("at", "bad"),
+    ("position", "inserted"),
     [(0.5, b"}"), (0.5, b"["), (0.5, b"\xff"), (0.5, b",[],"), (0.9, b'"'), (0.5, b"\n\n"), (1, b",")],
 )
-def test_a_malformed_long_list_is_rejected(at: float, bad: bytes) -> None:
+def test_a_malformed_long_list_is_rejected(position: float, inserted: bytes) -> None:
     data = json.dumps(
         {"index": 1, "snapshot": True, "endpoints": [endpoint_fields(n) for n in range(4000)]}
     ).encode()
-    cut = int(at * len(data))
+    index = int(position * len(data))
     with pytest.raises(EndpointListError):
-        read(data[:cut] + bad + data[cut:], 65536)
+        parse_in_parts(data[:index] + inserted + data[index:], 65536)
 
 
 def test_little_of_a_long_list_is_buffered(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -92,8 +97,8 @@
         )
         index += 100
     parser.feed(json.dumps(endpoint_fields(index)).encode() + b"]")
-    found = parser.end_line(b"}")
-    assert isinstance(found, EndpointList) and len(found.packed) == 20_001
+    parsed = parser.end_line(b"}")
+    assert isinstance(parsed, EndpointList) and len(parsed.packed) == 20_001
     with pytest.raises(EndpointListError):
         feed_value_without_end(parser)
 
--- a/tests/test_list_parser.py
+++ b/tests/test_list_parser.py
@@ -1,4 +1,4 @@
-"""Endpoint lists that come in lines."""
+"""Endpoint lists that are split into lines."""
 
 from __future__ import annotations
 
--- a/tests/test_packed_entry.py
+++ b/tests/test_packed_entry.py
@@ -1,4 +1,4 @@
-"""The compact form of an entry."""
+"""The compact form of an endpoint's entry."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         st.integers(-10, 2**48),
     ),
 )
-def test_an_entry_survives_packing_unchanged(raw: dict[str, Any]) -> None:
-    entry = decode_endpoint(raw)
-    again = unpack_entry(entry.name, pack_entry(entry))
-    assert again == entry
+def test_an_entry_survives_packing_unchanged(fields: dict[str, Any]) -> None:
+    entry = decode_endpoint(fields)
+    unpacked = unpack_entry(entry.name, pack_entry(entry))
+    assert unpacked == entry
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list over loopback connections: how it ends, resumes and is reopened."""
+"""The watch on the endpoint list over loopback connections: its end, resumption and reopening."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_ingress.net.discovery import watch as discovery_module
+from quota_ingress.net.discovery import watch as watch_module
 from quota_ingress.net.discovery import watch_connection, watch_retry
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.net.discovery.endpoint_list import EndpointList
@@ -24,7 +24,7 @@
 
 
 async def test_a_watch_that_is_reset_is_reopened_at_once_in_a_large_fleet(waits: list[float]) -> None:
-    """What the agent has counts as notified, whether or not a watch is open."""
+    """A change counts as notified once the agent has it, even while no watch is open."""
     agent = DiscoveryAgent(
         WATCH_HEAD + chunk(list_line(list_document(42, False))), None, None, None, WATCH_HEAD
     )
@@ -43,7 +43,7 @@
 async def test_a_silent_watch_is_reopened_without_a_wait_in_a_large_fleet(
     waits: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """However often: what the agent gets at discovery's return goes to the watch that is open then."""
+    """Also after repeated silence: once discovery returns, the agent sends changes only to the open watch."""
     for module in (watch_connection, watch_retry):
         monkeypatch.setattr(module, "HEARTBEAT_TIMEOUT", 0.05)
     agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False))))
@@ -60,7 +60,7 @@
 async def test_a_rejected_watch_is_retried_within_a_second_and_a_half_in_a_large_fleet(
     waits: list[float],
 ) -> None:
-    """A change counts as notified after 6 s, whatever a rejected call allows."""
+    """A change must be in force within 6 s, even if calls are rejected."""
     busy = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
     agent = DiscoveryAgent(busy, busy, WATCH_HEAD + chunk(list_line(list_document(42, False))))
     await agent.start()
@@ -78,7 +78,7 @@
 
 
 async def test_a_reset_between_snapshot_and_watch_loses_no_change(waits: list[float]) -> None:
-    """The call for the watch goes out on a connection that is closed under it."""
+    """The connection is reset after the watch has been requested on it."""
     change = WATCH_HEAD + chunk(list_line(list_document(6, False, a="draining")))
     agent = DiscoveryAgent(snapshot_answer(list_line(list_document(5, True, a="up"))), None, change)
     await agent.start()
@@ -92,7 +92,7 @@
 
 
 async def test_a_watch_that_ends_without_a_line_is_followed_by_a_snapshot(waits: list[float]) -> None:
-    """It may go on like this, and a watch that does not tell would be asked for without end."""
+    """Otherwise a discovery that sends only empty watches would be called forever without any change."""
     ends = WATCH_HEAD + b"0\r\n\r\n"
     agent = DiscoveryAgent(
         ends, snapshot_answer(list_line(list_document(43, True, a="draining"))), WATCH_HEAD
@@ -110,7 +110,7 @@
 async def test_a_silent_first_call_is_aborted_in_time_for_another(
     waits: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a silent watch, a second call may not take as long again: the change is late by then."""
+    """After a silent watch, a second call with the full timeout would make a change late."""
     agent = DiscoveryAgent()
     await agent.start()
     monkeypatch.setattr(watch_retry, "FINAL_CALLS_TIME", watch_retry.NOTIFICATION_DEADLINE - 0.1)
@@ -124,36 +124,36 @@
 
 
 async def test_a_delta_from_the_peer_process_is_applied_only_on_its_base_version() -> None:
-    """One that skips versions would hide what lies between; one that the watch tells again is passed over."""
-    heard: list[EndpointList] = []
-    made = DiscoveryWatch((HOST, 1), 4, heard.append)
-    made.receive_from_peer(decode_endpoint_list(list_document(7, False, a="draining")), base_version=6)
-    made.receive_from_peer(decode_endpoint_list(list_document(4, False, a="draining")), base_version=3)
-    made.receive_from_peer(decode_endpoint_list(list_document(9, False, a="draining")), base_version=None)
-    assert not heard and made.version == 4
-    made.receive_from_peer(decode_endpoint_list(list_document(5, False, a="up")), base_version=4)
-    made.receive_from_peer(decode_endpoint_list(list_document(6, False, a="draining")), base_version=5)
-    # By the watch that was open all the time:
-    made.receive(decode_endpoint_list(list_document(5, False, a="up")))
-    made.receive(decode_endpoint_list(list_document(6, False, a="draining")))
-    made.receive(decode_endpoint_list(list_document(7, False, b="draining")))
-    assert [listing.version for listing in heard] == [5, 6, 7] and made.version == 7
-    made.receive_from_peer(decode_endpoint_list(list_document(12, True, a="up")), base_version=11)
-    assert heard[-1].version == 12 and heard[-1].is_snapshot
+    """A delta that skips versions would lose the changes between; one that the watch repeats is ignored."""
+    received: list[EndpointList] = []
+    watch = DiscoveryWatch((HOST, 1), 4, received.append)
+    watch.receive_from_peer(decode_endpoint_list(list_document(7, False, a="draining")), base_version=6)
+    watch.receive_from_peer(decode_endpoint_list(list_document(4, False, a="draining")), base_version=3)
+    watch.receive_from_peer(decode_endpoint_list(list_document(9, False, a="draining")), base_version=None)
+    assert not received and watch.version == 4
+    watch.receive_from_peer(decode_endpoint_list(list_document(5, False, a="up")), base_version=4)
+    watch.receive_from_peer(decode_endpoint_list(list_document(6, False, a="draining")), base_version=5)
+    # Repeated by this process's own watch:
+    watch.receive(decode_endpoint_list(list_document(5, False, a="up")))
+    watch.receive(decode_endpoint_list(list_document(6, False, a="draining")))
+    watch.receive(decode_endpoint_list(list_document(7, False, b="draining")))
+    assert [endpoint_list.version for endpoint_list in received] == [5, 6, 7] and watch.version == 7
+    watch.receive_from_peer(decode_endpoint_list(list_document(12, True, a="up")), base_version=11)
+    assert received[-1].version == 12 and received[-1].is_snapshot
 
 
 async def test_the_watch_starts_from_the_version_held_and_resumes_from_the_last(server: PeerServer) -> None:
     watched = RecordedWatch(server, 41, 1)
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     assert server.peers[0].data.startswith(b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1\r\n")
-    both = (
+    two_lists = (
         list_line(list_document(42, False, a="up"))
         + b"\n"
         + list_line(list_document(43, True, a="up", b="up"))
     )
-    server.peers[0].transport.write(WATCH_HEAD + chunk(both[:30]) + chunk(both[30:]))
+    server.peers[0].transport.write(WATCH_HEAD + chunk(two_lists[:30]) + chunk(two_lists[30:]))
     await watched.received(2)
-    assert [(x.version, x.is_snapshot, [e.name for e in x.entries]) for x in watched.lists] == [
+    assert [(each.version, each.is_snapshot, [e.name for e in each.entries]) for each in watched.lists] == [
         (42, False, ["a"]),
         (43, True, ["a", "b"]),
     ]
@@ -174,9 +174,9 @@
 async def test_a_discovery_that_rejects_calls_is_called_ever_less_often(
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Up to a bound: a change counts as notified after 6 s, whatever a rejected call allows.
+    """The backoff is bounded, since a change must be in force within 6 s even if calls are rejected.
 
-    How a large fleet whose calls are queued first shares such a discovery is in test_watch_retry.
+    test_watch_retry covers large fleets whose calls are queued before they are rejected.
     """
 
     def reject(peer: Peer) -> None:
@@ -184,20 +184,20 @@
 
     agent = await PeerServer(reject).start()
     waits: list[float] = []
-    enough = asyncio.Event()
+    six_waits_recorded = asyncio.Event()
     sleep = asyncio.sleep
 
     async def record(wait: float) -> None:
         waits.append(wait)
         if len(waits) == 6:
-            enough.set()
+            six_waits_recorded.set()
         await sleep(0)
 
-    monkeypatch.setattr(discovery_module.asyncio, "sleep", record)
+    monkeypatch.setattr(watch_module.asyncio, "sleep", record)
     watch = DiscoveryWatch((HOST, agent.port), 4, lambda listing: None, size)
     watch.start()
     async with asyncio.timeout(10):
-        await enough.wait()
+        await six_waits_recorded.wait()
     watch.stop()
     initial, longest = watch_retry.FAILED_CALL_BACKOFF
     for attempt, wait in enumerate(waits[:6]):
--- a/tests/test_watch_connection.py
+++ b/tests/test_watch_connection.py
@@ -1,4 +1,4 @@
-"""Answers of discovery on one connection: in pieces, in any form, malformed and silent."""
+"""Responses of discovery on one connection: split, indented, malformed and silent."""
 
 from __future__ import annotations
 
@@ -24,8 +24,10 @@
 async def test_a_watch_that_breaks_within_a_line_resumes_after_the_last_complete_one(
     waits: list[float],
 ) -> None:
-    half = list_line(list_document(43, False, a="draining"))[:40]
-    agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False, a="up"))) + chunk(half))
+    partial_line = list_line(list_document(43, False, a="draining"))[:40]
+    agent = DiscoveryAgent(
+        WATCH_HEAD + chunk(list_line(list_document(42, False, a="up"))) + chunk(partial_line)
+    )
     await agent.start()
     watched = RecordedWatch(agent, 41)
     await watched.received(1)
@@ -37,13 +39,13 @@
     agent.stop()
 
 
-@pytest.mark.parametrize("cut", [1, 7, 10_000])
-async def test_indented_snapshots_and_deltas_are_read_however_they_are_cut(cut: int) -> None:
-    """After a reload it was asked for ten times a second, and never understood."""
+@pytest.mark.parametrize("part_size", [1, 7, 10_000])
+async def test_indented_snapshots_and_deltas_are_read_however_they_are_split(part_size: int) -> None:
+    """Guards against rejecting indented lists: after a reload, one was then requested ten times a second."""
     first, second = list_document(5, True, a="up", **{'b{"[': "up"}), list_document(6, False, a="draining")
     lines = list_line(first, 2)
     stream = list_line(second, 2) + b"\n" + list_line(list_document(7, False, a="up"), 1)
-    parts = [stream[at : at + cut] for at in range(0, len(stream), cut)]
+    parts = [stream[start : start + part_size] for start in range(0, len(stream), part_size)]
     agent = DiscoveryAgent(snapshot_answer(lines), WATCH_HEAD + b"".join(map(chunk, parts)))
     await agent.start()
     watched = RecordedWatch(agent, None)
@@ -79,7 +81,7 @@
         watched = RecordedWatch(agent, 41)
         assert await watched.received(2) == [(42, False, ["a=up"])] * 2
     assert len(caplog.records) == 3 and len(waits) == 3
-    assert waits[2] > 1.3 * waits[0] > 0  # the same may come again: asked for ever less often
+    assert waits[2] > 1.3 * waits[0] > 0  # the same list may be sent again, so the waits grow
     watched.watch.stop()
     agent.stop()
 
@@ -99,31 +101,31 @@
 
 
 async def test_a_watch_is_aborted_soon_after_one_missing_heartbeat() -> None:
-    class Time:  # stands in for the loop
-        now, at = 0.0, 0.0
+    class FakeLoop:
+        now, timer_at = 0.0, 0.0
 
         def time(self) -> float:
             return self.now
 
         def call_later(self, delay: float, run: object) -> asyncio.Handle:
-            self.at = self.now + delay
+            self.timer_at = self.now + delay
             return asyncio.Handle(lambda: None, (), asyncio.get_running_loop())
 
-    class Wire(asyncio.Transport):
+    class FakeTransport(asyncio.Transport):
         def write(self, data: object) -> None: ...
 
         def abort(self) -> None:
-            aborted.append(time.now)
+            aborted.append(loop.now)
 
     aborted: list[float] = []
-    time, watch = Time(), WatchConnection(DiscoveryWatch((HOST, 1), 0, lambda listing: None), False)
-    watch._loop = time  # type: ignore[assignment]
-    watch.connection_made(Wire())
-    watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    for beat in (2.0, 4.0):
-        time.now = beat
-        watch.data_received(chunk(b"\n"))
+    loop, connection = FakeLoop(), WatchConnection(DiscoveryWatch((HOST, 1), 0, lambda listing: None), False)
+    connection._loop = loop  # type: ignore[assignment]
+    connection.connection_made(FakeTransport())
+    connection.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    for heartbeat_at in (2.0, 4.0):
+        loop.now = heartbeat_at
+        connection.data_received(chunk(b"\n"))
     while not aborted:
-        time.now = time.at
-        watch._check_silence()
-    assert 6 < aborted[0] <= 7.5  # after the beat due at 6 s, before a reload's 4 s are up
+        loop.now = loop.timer_at
+        connection._check_silence()
+    assert 6 < aborted[0] <= 7.5  # after the heartbeat due at 6 s, within the 4 s allowed for a reload
--- a/tests/test_watch_retry.py
+++ b/tests/test_watch_retry.py
@@ -1,4 +1,4 @@
-"""How soon a change is in force once discovery has it: over every path, and with calls rejected."""
+"""Time until a change at discovery is in force: over all sequences of faults, and with rejected calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     WatchRetryPolicy,
 )
 
-PROCESSING_TIME = 0.4  # s left for the call that succeeds: an ingress may have a twentieth of a core
+PROCESSING_TIME = 0.4  # s reserved for the successful call: an ingress may have a twentieth of a core
 FAULTS = ("connect hangs", "silent", "empty", "malformed", "rejected")
 DURATIONS = {
     "connect hangs": CONNECT_TIMEOUT,
@@ -40,10 +40,10 @@
 def delay_of_change(
     retry: WatchRetryPolicy, changed_at: float, before: Sequence[str], after: Sequence[str]
 ) -> float:
-    """Seconds from `changed_at`, when discovery has a change and can be reached, to the call that succeeds.
+    """Seconds from `changed_at`, when discovery has a change and is reachable, to the successful call.
 
-    A watch falls silent at 0; calls begun before the change fail by `before`, in turn, the next ones by
-    `after`, once each.
+    A watch falls silent at 0. Calls begun before the change fail with the faults in `before`, cyclically;
+    later calls fail with those in `after`, once each.
     """
     now = 0.0
     faults_before = itertools.cycle(before)
@@ -62,26 +62,30 @@
 
 
 def longest_delay(fleet_size: int, faults: Sequence[str], before: Sequence[str], max_faults: int) -> float:
-    """Over all paths: three calls by turns before, up to `max_faults` different faults after, any moment."""
+    """The longest delay over all sequences of faults and all times of the change.
+
+    Before the change, up to three faults of `before` recur cyclically; after it, up to `max_faults` different
+    ones of `faults` occur.
+    """
     return max(
         delay_of_change(
-            WatchRetryPolicy(fleet_size, random_fraction=longest_draw), moment / 10 + 1e-6, turns, after
+            WatchRetryPolicy(fleet_size, random_fraction=longest_draw), tenths / 10 + 1e-6, cycle, after
         )
-        for turns in itertools.chain(*(itertools.product(before, repeat=n) for n in (1, 2, 3)))
+        for cycle in itertools.chain(*(itertools.product(before, repeat=n) for n in (1, 2, 3)))
         for after in itertools.chain(*(itertools.permutations(faults, n) for n in range(max_faults + 1)))
-        for moment in range(0, 100, 3)
+        for tenths in range(0, 100, 3)
     )
 
 
 @pytest.mark.parametrize("fleet_size", [3, 7000])
 def test_a_change_is_in_force_in_time_on_every_path_with_two_faults_after_it(fleet_size: int) -> None:
-    """Counted from the silence of the watch, too."""
+    """Includes changes made while the open watch is silent."""
     assert longest_delay(fleet_size, FAULTS, FAULTS, 2) <= NOTIFICATION_DEADLINE - PROCESSING_TIME
 
 
 @pytest.mark.parametrize("fleet_size", [3, 7000])
 def test_a_change_is_in_force_in_time_once_calls_are_no_longer_queued_and_rejected(fleet_size: int) -> None:
-    """Then a connect may hang besides."""
+    """One connect may hang in addition."""
     assert (
         longest_delay(fleet_size, ["connect hangs"], ["queued and rejected", "connect hangs", "rejected"], 1)
         <= NOTIFICATION_DEADLINE - PROCESSING_TIME
@@ -89,7 +93,7 @@
 
 
 def test_the_first_list_after_a_reload_is_fetched_in_time() -> None:
-    """What the new discovery has counts as notified 4 s after the signal; later lists after 6 s."""
+    """The first list after a reload is due within 4 s of the signal; later changes within 6 s."""
     for first, second in itertools.permutations(["connect hangs", "silent", "rejected", "malformed"], 2):
         retry, now = WatchRetryPolicy(200, 4.0, longest_draw), 0.0
         for fault in (first, second):
@@ -99,14 +103,14 @@
         assert now <= 4.0 - PROCESSING_TIME
 
 
-# A discovery of fixed capacity that rejects calls.
+# A discovery service of fixed capacity that rejects calls.
 
 
 def notification_times(fleet_size: int, capacity: float, queueing: str, seed: int) -> list[float]:
-    """When each ingress is notified, where all watches end at 0.
+    """Times at which the ingresses are notified if all watches end at 0, in order.
 
-    A call that would wait in the queue for over 2 s is rejected: `at once`, or after these 2 s (`held`), or
-    at its turn, which it uses up (`wasted`).
+    `capacity` is in calls per second. A call that would wait in the queue for over 2 s is rejected:
+    immediately (`at once`), after 2 s (`held`), or at its turn, which takes up capacity (`wasted`).
     """
     rng = random.Random(seed)
     ingresses = [WatchRetryPolicy(fleet_size, random_fraction=rng.random) for _ in range(fleet_size)]
@@ -117,12 +121,12 @@
     while calls and calls[0][0] <= 40:
         now, n = heapq.heappop(calls)
         ingresses[n].on_call(now)
-        turn = max(now, free_at)
-        is_rejected = turn - now > 2.0
+        turn_at = max(now, free_at)
+        is_rejected = turn_at - now > 2.0
         if not is_rejected or queueing == "wasted":
-            free_at = turn + 1 / capacity
+            free_at = turn_at + 1 / capacity
         if is_rejected:
-            end = {"at once": now, "held": now + 2.0, "wasted": turn + 1 / capacity}[queueing]
+            end = {"at once": now, "held": now + 2.0, "wasted": turn_at + 1 / capacity}[queueing]
             heapq.heappush(calls, (end + ingresses[n].next_wait(CallEnd.REJECTED, end), n))
         else:
             notified.append(free_at)
@@ -147,7 +151,7 @@
 def test_a_fleet_whose_calls_are_rejected_is_notified_as_fast_as_discovery_can(
     fleet_size: int, capacity: float, queueing: str, in_time: int, all_by: int, seed: int
 ) -> None:
-    """`in_time`: notified within 6 s; nobody waits beyond what the capacity explains."""
+    """`in_time`: ingresses notified within 6 s; `all_by`: s within which the capacity allows all of them."""
     notified = notification_times(fleet_size, capacity, queueing, seed)
     assert sum(moment <= 6 for moment in notified) >= in_time
     assert len(notified) == fleet_size and notified[-1] <= all_by
