--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides between a pretended discovery and whatever is told of the list."""
+"""Operators' overrides, between discovery's lists and the lists that are published."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Fixture:
-    """Overrides between a pretended discovery and a record of what they publish."""
+    """Overrides with a simulated discovery and a record of the lists that they publish."""
 
     def __init__(self) -> None:
         self.time_us = 5_000_000
@@ -35,14 +35,14 @@
         self.overrides = overrides_of_own_directory(lambda: self.time_us, self.published.append)
 
     def discover(self, *entries: dict[str, object], is_snapshot: bool = True) -> None:
-        """Applies a list or a change; endpoints are up unless an entry says otherwise."""
+        """Applies a snapshot or a delta; endpoints are up unless an entry says otherwise."""
         endpoints = [{"address": f"{HOST}:1", "status": "up"} | entry for entry in entries]
         document = {"index": 4, "snapshot": is_snapshot, "endpoints": endpoints}
         self.overrides.apply_list(decode_endpoint_list(document))
 
     @property
-    def last(self) -> dict[str, tuple[str, int]]:
-        """Status and start of each endpoint in what was published last."""
+    def last_published(self) -> dict[str, tuple[str, int]]:
+        """Status and start (us) of each endpoint in the list published last."""
         entries = self.published[-1].entries
         return {entry.name: (STATUS_BY_STATE[entry.state], entry.started_us) for entry in entries}
 
@@ -54,16 +54,16 @@
     assert (
         len(fixture.published) == 2
         and not fixture.published[-1].is_snapshot
-        and fixture.last == {"a": ("draining", 0)}
+        and fixture.last_published == {"a": ("draining", 0)}
     )
     fixture.discover({"name": "a"}, {"name": "b"})
-    assert fixture.last == {"a": ("draining", 0), "b": ("up", 0)}
+    assert fixture.last_published == {"a": ("draining", 0), "b": ("up", 0)}
     fixture.discover({"name": "a", "since_ms": 4000}, is_snapshot=False)  # it was restarted meanwhile
-    assert fixture.last == {"a": ("draining", 4_000_000)}
+    assert fixture.last_published == {"a": ("draining", 4_000_000)}
     fixture.discover({"name": "a", "status": "removed"}, is_snapshot=False)
-    assert fixture.last["a"][0] == "removed"
+    assert fixture.last_published["a"][0] == "removed"
     fixture.discover({"name": "a"}, is_snapshot=False)
-    assert fixture.last["a"][0] == "draining"
+    assert fixture.last_published["a"][0] == "draining"
 
 
 def test_an_endpoint_put_online_is_cold_whatever_the_list_says() -> None:
@@ -72,17 +72,17 @@
     fixture.overrides.take_offline("a")
     fixture.overrides.take_offline("a")
     fixture.time_us = 9_000_000
-    assert fixture.overrides.put_online("a")  # one call back ends it
-    assert fixture.last == {"a": ("up", 9_000_000)}
+    assert fixture.overrides.put_online("a")  # one call ends a ban that was requested twice
+    assert fixture.last_published == {"a": ("up", 9_000_000)}
     fixture.discover({"name": "a"})
-    assert fixture.last == {"a": ("up", 9_000_000)}
+    assert fixture.last_published == {"a": ("up", 9_000_000)}
     fixture.discover({"name": "a", "since_ms": 12_000}, is_snapshot=False)
-    assert fixture.last == {"a": ("up", 12_000_000)}
+    assert fixture.last_published == {"a": ("up", 12_000_000)}
     count = len(fixture.published)
     fixture.time_us = 20_000_000
     assert (
         fixture.overrides.put_online("a") and len(fixture.published) == count
-    )  # it was not out: nothing changes
+    )  # it was not offline: nothing changes
 
 
 def test_an_endpoint_never_listed_is_not_known_and_one_removed_is() -> None:
@@ -94,7 +94,7 @@
 
 
 async def test_an_endpoint_taken_offline_gets_nothing_and_put_online_gets_requests_again() -> None:
-    """Through the real policy: an ordinary drain, then an ordinary cold start."""
+    """With the real policy: a normal drain, then a normal cold start."""
     gateway = Gateway(SETTINGS, 1)
     now_us = 1_000_000_000
     numbers = {"a": 1, "b": 2}
@@ -108,8 +108,8 @@
         gateway.handle(now_us, EndpointsListed(kind, endpoints.version, listed))
 
     overrides = overrides_of_own_directory(lambda: now_us, list_endpoints)
-    up = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in numbers]
-    overrides.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": up}))
+    endpoints = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in numbers]
+    overrides.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": endpoints}))
     number = 0
 
     def endpoints_used() -> set[int]:
@@ -135,27 +135,29 @@
     assert endpoints_used() == {1, 2}
 
 
-def through_the_codec(state: ServingState) -> ServingState:
+def encode_and_decode(state: ServingState) -> ServingState:
     return decode_state(json.loads(json.dumps(encode_state(state))))
 
 
-def test_operators_calls_hold_across_an_upgrade() -> None:
+def test_operators_overrides_survive_an_upgrade() -> None:
     published: list[EndpointList] = []
     old = overrides_of_own_directory(lambda: 7_000_000, published.append)
     new = overrides_of_own_directory(lambda: 9_000_000, published.append)
-    listing = EndpointList.from_entries(0, True, (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3)))
-    old.apply_list(listing)
+    snapshot = EndpointList.from_entries(0, True, (entry("a", 1, since_ms=3), entry("b", 2), entry("c", 3)))
+    old.apply_list(snapshot)
     old.take_offline("a")
     old.take_offline("b")
     old.put_online("b")
-    for part in old.entry_batches():  # as it comes through the channel
-        new.restore_entries(json.loads(json.dumps(part)))
-    state = through_the_codec(ServingState(old.snapshot(), is_draining=False, clock_base_us=1))
+    for batch in old.entry_batches():  # encoded as between the processes of an upgrade
+        new.restore_entries(json.loads(json.dumps(batch)))
+    state = encode_and_decode(ServingState(old.snapshot(), is_draining=False, clock_base_us=1))
     new.apply_list(new.restore(state.overrides))
-    last = {e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in published[-1].entries}
-    assert last["a"] == ("draining", 3000, (HOST, 1)) and last["c"] == ("up", 0, (HOST, 3))
-    assert last["b"] == ("up", 7_000_000, (HOST, 2))
+    last_entries = {
+        e.name: (STATUS_BY_STATE[e.state], e.started_us, e.address) for e in published[-1].entries
+    }
+    assert last_entries["a"] == ("draining", 3000, (HOST, 1)) and last_entries["c"] == ("up", 0, (HOST, 3))
+    assert last_entries["b"] == ("up", 7_000_000, (HOST, 2))
     new.apply_operator_call("a", is_offline=False)
     assert published[-1].entries[0].state is EndpointState.READY and not new.offline
     with pytest.raises(IncompleteListError):
-        new.restore(old.snapshot())  # the list itself did not come
+        new.restore(old.snapshot())  # the entries have not arrived
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""The start of a backend on this process's clock, whatever its wall clock says; and the clock itself."""
+"""Start times of endpoints on this process's clock, with a correct and with a wrong wall clock."""
 
 from __future__ import annotations
 
@@ -23,93 +23,96 @@
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 SECOND = 1_000_000
-NOW = 1_800_000_000 * SECOND  # the fleet's clock
+NOW = 1_800_000_000 * SECOND  # us on the fleet's clock
 HOUR = 3600 * SECOND
 CLOCK_OFFSETS = [0, 3 * SECOND, HOUR, -3 * SECOND, -HOUR]
 
 
-def age(starts: StartTimes, name: str, told: int, now: int) -> int:
-    return now - starts.local_start(name, told, now)
+def age(starts: StartTimes, name: str, reported_at: int, now: int) -> int:
+    return now - starts.local_start(name, reported_at, now)
 
 
-@pytest.mark.parametrize("off", CLOCK_OFFSETS)
-def test_a_start_that_has_just_been_reported_never_counts_as_older_than_it_is(off: int) -> None:
-    """Nor is any other one: `off` is what this process's wall clock is ahead of the fleet's."""
-    starts, told = StartTimes(), {"a": NOW - 8 * SECOND, "b": NOW - SECOND, "c": NOW - 60 * SECOND}
-    for moment in told.values():
-        starts.observe(moment, NOW + off)
-    for name, moment in told.items():
-        assert 0 <= age(starts, name, moment, NOW + off) <= NOW - moment
-    starts.observe(NOW + 5 * SECOND, NOW + 5 * SECOND + off)
-    assert age(starts, "d", NOW + 5 * SECOND, NOW + 5 * SECOND + off) == 0
+@pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
+def test_a_start_that_has_just_been_reported_never_counts_as_older_than_it_is(clock_offset: int) -> None:
+    """Nor does any other start; `clock_offset` is this process's wall clock minus the fleet's, in us."""
+    starts, reported = StartTimes(), {"a": NOW - 8 * SECOND, "b": NOW - SECOND, "c": NOW - 60 * SECOND}
+    for start in reported.values():
+        starts.observe(start, NOW + clock_offset)
+    for name, start in reported.items():
+        assert 0 <= age(starts, name, start, NOW + clock_offset) <= NOW - start
+    starts.observe(NOW + 5 * SECOND, NOW + 5 * SECOND + clock_offset)
+    assert age(starts, "d", NOW + 5 * SECOND, NOW + 5 * SECOND + clock_offset) == 0
 
 
-@pytest.mark.parametrize("off", CLOCK_OFFSETS)
-def test_a_start_ages_from_its_report_on(off: int) -> None:
-    """So that none stays cold beyond one ramp, however wrong the clock is."""
+@pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
+def test_a_start_ages_from_its_report_on(clock_offset: int) -> None:
+    """Therefore no endpoint stays cold beyond one warm-up, however wrong the wall clock is."""
     starts = StartTimes()
-    first = age(starts, "a", NOW - SECOND, NOW + off)
-    assert age(starts, "a", NOW - SECOND, NOW + off + 30 * SECOND) == first + 30 * SECOND
+    first = age(starts, "a", NOW - SECOND, NOW + clock_offset)
+    assert age(starts, "a", NOW - SECOND, NOW + clock_offset + 30 * SECOND) == first + 30 * SECOND
 
 
 def test_with_a_correct_clock_ages_are_correct_once_a_start_was_reported_at_once() -> None:
     starts = StartTimes()
     assert age(starts, "a", NOW, NOW) == 0
-    assert age(starts, "late", NOW - 7 * SECOND, NOW) == 7 * SECOND  # as after a discovery that was down
+    # Reported late, as after an outage of discovery:
+    assert age(starts, "late", NOW - 7 * SECOND, NOW) == 7 * SECOND
 
 
-@pytest.mark.parametrize("off", CLOCK_OFFSETS)
-def test_a_later_start_shows_how_old_the_others_are_at_the_least(off: int) -> None:
-    """A fresh process among a release: its list is old, and what is told next is not."""
-    starts, clock = StartTimes(), NOW + off
+@pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
+def test_a_later_start_gives_a_lower_bound_of_the_age_of_others(clock_offset: int) -> None:
+    """As in a process started during a release: its first list is old, the next reported start is recent."""
+    starts, clock = StartTimes(), NOW + clock_offset
     starts.observe(NOW - 20 * SECOND, clock)
     assert age(starts, "a", NOW - 20 * SECOND, clock) <= 20 * SECOND
-    assert starts.observe(NOW - SECOND, clock) == (["a"] if off > -HOUR else [])
-    found = age(starts, "a", NOW - 20 * SECOND, clock)
-    assert found <= 20 * SECOND and (off < 0 or found >= 19 * SECOND)
+    assert starts.observe(NOW - SECOND, clock) == (["a"] if clock_offset > -HOUR else [])
+    later_age = age(starts, "a", NOW - 20 * SECOND, clock)
+    assert later_age <= 20 * SECOND and (clock_offset < 0 or later_age >= 19 * SECOND)
 
 
-def test_the_policy_is_notified_of_endpoints_that_are_older_than_they_counted_for() -> None:
+def test_the_policy_is_notified_of_endpoints_whose_age_a_later_start_raises() -> None:
     script, clock, loop = Script(), NOW, asyncio.new_event_loop()
     engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
 
-    def told(whole: bool, **since: int) -> dict[int, int]:
-        named = [
-            {"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in since.items()
+    def update(is_snapshot: bool, **starts: int) -> dict[int, int]:
+        entries = [
+            {"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in starts.items()
         ]
-        engine.update_endpoints(decode_endpoint_list({"index": 1, "snapshot": whole, "endpoints": named}))
+        engine.update_endpoints(
+            decode_endpoint_list({"index": 1, "snapshot": is_snapshot, "endpoints": entries})
+        )
         return {b.id: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
-    spare = age_tolerance(SETTINGS.safety)
-    assert 0 < spare < SECOND
-    assert told(True, a=NOW - 20 * SECOND, b=0) == {1: NOW - spare, 2: 0}
-    assert told(False, c=NOW - SECOND) == {3: NOW - spare, 1: NOW - 19 * SECOND - spare}
-    assert told(False, c=NOW - SECOND) == {3: NOW - spare}
+    tolerance = age_tolerance(SETTINGS.safety)
+    assert 0 < tolerance < SECOND
+    assert update(True, a=NOW - 20 * SECOND, b=0) == {1: NOW - tolerance, 2: 0}
+    assert update(False, c=NOW - SECOND) == {3: NOW - tolerance, 1: NOW - 19 * SECOND - tolerance}
+    assert update(False, c=NOW - SECOND) == {3: NOW - tolerance}
     loop.close()
 
 
 def test_the_age_tolerance_is_what_the_unused_part_of_the_cold_budget_covers() -> None:
     safety = SETTINGS.safety
-    spare, ramp = age_tolerance(safety), safety.warmup_time
-    for age_us in range(0, ramp, ramp // 50):
-        present = safety.initial_capacity_fraction + (1 - safety.initial_capacity_fraction) * age_us / ramp
-        believed = (
+    tolerance, warmup = age_tolerance(safety), safety.warmup_time
+    for age_us in range(0, warmup, warmup // 50):
+        actual = safety.initial_capacity_fraction + (1 - safety.initial_capacity_fraction) * age_us / warmup
+        assumed = (
             safety.initial_capacity_fraction
-            + (1 - safety.initial_capacity_fraction) * (age_us + spare) / ramp
+            + (1 - safety.initial_capacity_fraction) * (age_us + tolerance) / warmup
         )
-        assert SLOW_START_BUDGET_FRACTION * believed <= present * 1.0001
+        assert SLOW_START_BUDGET_FRACTION * assumed <= actual * 1.0001
     assert age_tolerance(replace(safety, initial_capacity_fraction=1.0)) == 0
 
 
-@pytest.mark.parametrize("off", CLOCK_OFFSETS)
-def test_an_age_is_too_great_by_the_tolerance_at_most(off: int) -> None:
-    starts, told = StartTimes(SECOND // 2), {"a": NOW - 8 * SECOND, "b": NOW - SECOND // 4}
-    for moment in told.values():
-        starts.observe(moment, NOW + off)
-    for name, moment in told.items():
-        assert 0 <= age(starts, name, moment, NOW + off) <= NOW - moment + SECOND // 2
-        if off == 0:  # and never beyond what a right clock says
-            assert age(starts, name, moment, NOW) <= NOW - moment
+@pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
+def test_an_age_is_too_great_by_the_tolerance_at_most(clock_offset: int) -> None:
+    starts, reported = StartTimes(SECOND // 2), {"a": NOW - 8 * SECOND, "b": NOW - SECOND // 4}
+    for start in reported.values():
+        starts.observe(start, NOW + clock_offset)
+    for name, start in reported.items():
+        assert 0 <= age(starts, name, start, NOW + clock_offset) <= NOW - start + SECOND // 2
+        if clock_offset == 0:  # a correct clock never makes it too great
+            assert age(starts, name, start, NOW) <= NOW - start
 
 
 def test_a_start_further_back_than_a_clock_step_explains_is_long_ago() -> None:
@@ -120,66 +123,66 @@
 
 
 def test_a_start_reported_as_earlier_than_the_previous_one_happens_now() -> None:
-    """The clock that it was read from has been stepped back."""
+    """The clock from which the start was read has been stepped back."""
     starts = StartTimes()
     starts.local_start("a", NOW, NOW)
     assert age(starts, "a", NOW - HOUR, NOW + 30 * SECOND) == 0
 
 
-@pytest.mark.parametrize("off", CLOCK_OFFSETS)
-def test_an_endpoint_put_online_by_operators_starts_then(off: int) -> None:
-    """That moment is of this machine's own clock, and makes no other backend older."""
-    script, clock = Script(), NOW + off
+@pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
+def test_an_endpoint_put_online_by_operators_starts_then(clock_offset: int) -> None:
+    """That time is on this machine's own clock and must not raise the age of other endpoints."""
+    script, clock = Script(), NOW + clock_offset
     loop = asyncio.new_event_loop()
     engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
-    maintenance = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
-    engine.endpoints.restored_at = maintenance.back_online_at
+    overrides = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
+    engine.endpoints.restored_at = overrides.back_online_at
 
-    def told(*entries: tuple[str, int], whole: bool) -> dict[str, int]:
-        named = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in entries]
-        maintenance.apply_list(decode_endpoint_list({"index": 1, "snapshot": whole, "endpoints": named}))
+    def update(*starts: tuple[str, int], is_snapshot: bool) -> dict[str, int]:
+        entries = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in starts]
+        overrides.apply_list(
+            decode_endpoint_list({"index": 1, "snapshot": is_snapshot, "endpoints": entries})
+        )
         return {b.hash_key: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
 
-    told(("a", NOW - 30 * SECOND), ("b", NOW - 40 * SECOND), whole=True)
-    maintenance.take_offline("a")
+    update(("a", NOW - 30 * SECOND), ("b", NOW - 40 * SECOND), is_snapshot=True)
+    overrides.take_offline("a")
     clock += 20 * SECOND
-    assert maintenance.put_online("a")
+    assert overrides.put_online("a")
     assert [b.started_at for b in script.of(EndpointsListed)[-1].endpoints] == [clock]
     clock += SECOND
-    started = told(("c", NOW + 20 * SECOND), whole=False)  # told a second after it started
+    started = update(("c", NOW + 20 * SECOND), is_snapshot=False)  # reported 1 s after the start
     assert clock - started[hash_key("c")] <= SECOND
-    assert (
-        started.get(hash_key("a"), clock - SECOND) == clock - SECOND
-    )  # put back a second ago, whatever else
+    assert started.get(hash_key("a"), clock - SECOND) == clock - SECOND  # put online one second ago
     clock += 30 * SECOND
-    started = told(("a", NOW + 50 * SECOND), whole=False)  # it has been restarted once more
+    started = update(("a", NOW + 50 * SECOND), is_snapshot=False)  # restarted since
     assert clock - started[hash_key("a")] <= SECOND
     loop.close()
 
 
 class FakeUpstream:
-    """Takes the place of the connections to backends."""
+    """Replaces the connections to backends."""
 
     def register_endpoint(self, entry: object, backend: int) -> None: ...
-    def reconcile(self, gone: object) -> None: ...
+    def reconcile(self, removed: object) -> None: ...
 
 
-@pytest.mark.parametrize("off", [0, 3600, -3600])
+@pytest.mark.parametrize("clock_offset", [0, 3600, -3600])
 async def test_a_fresh_process_with_a_wrong_clock_does_not_overload_a_cold_backend(
-    tmp_path: Path, off: int
+    tmp_path: Path, clock_offset: int
 ) -> None:
-    """A real process whose wall clock is off from its start on; one of four backends has just started."""
+    """A real process whose wall clock is wrong from its start; one of four backends started 0.5 s before."""
     ports: list[int] = []
 
-    def heard(peer: Peer) -> None:
+    def respond(peer: Peer) -> None:
         while b"\r\n\r\n" in peer.data:
             peer.data = peer.data.partition(b"\r\n\r\n")[2]
             ports.append(peer.server.port)
             peer.transport.write(OK)
 
-    servers = [await PeerServer(heard).start() for _ in range(4)]
+    servers = [await PeerServer(respond).start() for _ in range(4)]
     cold = servers[0].port
-    listed = [
+    endpoints = [
         {
             "name": f"s-{n}",
             "address": f"{HOST}:{server.port}",
@@ -189,18 +192,18 @@
         for n, server in enumerate(servers)
     ]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config_document(known={"index": 1, "snapshot": True, "endpoints": listed})))
+    path.write_text(json.dumps(config_document(known={"index": 1, "snapshot": True, "endpoints": endpoints})))
     faults = Faults(build(tmp_path), tmp_path / "faults")
-    faults.shift_wall_clock(off)
-    ran = start_ingress(path, **faults.environment())
-    port = await asyncio.to_thread(listening_port, ran)
-    for wave in range(40):
-        customers = range(wave * 8, wave * 8 + 8)
-        asked = (fetch(port, request(f"r{n}", Cookie=f"customer={n:016x}")) for n in customers)
-        assert {answer.split(b" ")[1] for answer in await asyncio.gather(*asked)} <= {b"200", b"429"}
-    ran.kill()
-    await asyncio.to_thread(ran.communicate)
+    faults.shift_wall_clock(clock_offset)
+    process = start_ingress(path, **faults.environment())
+    port = await asyncio.to_thread(listening_port, process)
+    for batch in range(40):
+        customers = range(batch * 8, batch * 8 + 8)
+        responses = (fetch(port, request(f"r{n}", Cookie=f"customer={n:016x}")) for n in customers)
+        assert {response.split(b" ")[1] for response in await asyncio.gather(*responses)} <= {b"200", b"429"}
+    process.kill()
+    await asyncio.to_thread(process.communicate)
     faults.close()
     for server in servers:
         server.stop()
-    assert ports.count(cold) / len(ports) < 0.2  # a warm one has a quarter
+    assert ports.count(cold) / len(ports) < 0.2  # a warm backend receives a quarter
