--- a/tests/test_ingress_discovery.py
+++ b/tests/test_ingress_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list at a start and at a reload of the whole ingress."""
+"""The endpoint list at the start and at a reload of an ingress."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from quota_ingress.config import load_config
-from quota_ingress.net.discovery import watch as discovery_module
+from quota_ingress.net.discovery import watch as watch_module
 from quota_ingress.net.discovery.endpoint_codec import STATUS_BY_STATE
 from quota_ingress.net.discovery.endpoint_list import EndpointList
 from quota_ingress.net.discovery.watch import DiscoveryWatch
@@ -44,18 +44,18 @@
     agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False, leaving="draining"))))
     await agent.start()
     ingress = build_ingress(tmp_path, agent)
-    before: list[dict[str, str]] = []
+    lists_at_listen: list[dict[str, str]] = []
     listen = ingress.listener.listen
 
-    async def listened(host: str, port: int, inherited: int | None = None) -> int:
-        before.append(
+    async def record_and_listen(host: str, port: int, inherited: int | None = None) -> int:
+        lists_at_listen.append(
             {name: STATUS_BY_STATE[entry.state] for name, entry in ingress.overrides.entries.items()}
         )
         return await listen(host, port, inherited)
 
-    monkeypatch.setattr(ingress.listener, "listen", listened)
+    monkeypatch.setattr(ingress.listener, "listen", record_and_listen)
     await ingress.start()
-    assert before == [{"leaving": "draining", "staying": "up"}]
+    assert lists_at_listen == [{"leaving": "draining", "staying": "up"}]
     await stop(ingress)
     agent.stop()
 
@@ -76,15 +76,15 @@
 async def test_a_line_on_the_replaced_watch_does_not_undo_the_new_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a reload, both can be read in one turn of the loop: the new list first, and then the old line."""
+    """After a reload, one iteration of the event loop may read the new list, then the old watch's line."""
     watches: list[WatchConnection] = []
 
-    class Kept(WatchConnection):
-        def __init__(self, discovery: DiscoveryWatch, whole: bool) -> None:
-            super().__init__(discovery, whole)
+    class RecordedConnection(WatchConnection):
+        def __init__(self, discovery: DiscoveryWatch, needs_snapshot: bool) -> None:
+            super().__init__(discovery, needs_snapshot)
             watches.append(self)
 
-    monkeypatch.setattr(discovery_module, "WatchConnection", Kept)
+    monkeypatch.setattr(watch_module, "WatchConnection", RecordedConnection)
     old, new = (
         DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False)))),
         DiscoveryAgent(snapshot_answer(list_line(list_document(7, True, staying="up")))),
@@ -93,20 +93,20 @@
     await new.start()
     ingress = build_ingress(tmp_path, old)
     await ingress.start()
-    done, listed = asyncio.Event(), ingress.overrides.apply_list
+    snapshot_applied, apply_list = asyncio.Event(), ingress.overrides.apply_list
 
-    def listed_then_read(listing: EndpointList, kind: Any = None) -> None:
-        listed(listing, kind)
-        if listing.is_snapshot:
-            done.set()
+    def apply_then_read_old_line(endpoint_list: EndpointList, kind: Any = None) -> None:
+        apply_list(endpoint_list, kind)
+        if endpoint_list.is_snapshot:
+            snapshot_applied.set()
             watches[0].data_received(chunk(list_line(list_document(43, False, leaving="up"))))
 
-    monkeypatch.setattr(ingress.overrides, "apply_list", listed_then_read)
+    monkeypatch.setattr(ingress.overrides, "apply_list", apply_then_read_old_line)
     path = tmp_path / "other.json"
     path.write_text(json.dumps(config_document(discovery=f"{HOST}:{new.port}")))
     ingress.reload(str(path))
     async with asyncio.timeout(10):
-        await done.wait()
+        await snapshot_applied.wait()
     assert list(ingress.overrides.entries) == ["staying"] and ingress.overrides.list_version == 7
     await stop(ingress)
     old.stop()
