--- a/quota_ingress/net/discovery/incremental_reader.py
+++ b/quota_ingress/net/discovery/incremental_reader.py
@@ -66,7 +66,7 @@
         self._needed = next(self._parsing)
 
     def feed(self, data: bytes, line_ended: bool = False) -> None:
-        """Decodes as much as possible of the text received so far.
+        """Adds a part of the text, and decodes entries once enough text has arrived.
 
         Args:
             data: The next bytes.
@@ -187,7 +187,7 @@
         """Consumes one of the `expected` characters; with none given, accepts only whitespace."""
         found = yield from self._peek()
         if found not in expected:
-            alternatives = " or ".join(expected) or "its end"
+            alternatives = " or ".join(expected) or "the end of the list"
             raise EndpointListError(f"endpoint list: got {found!r}, expected {alternatives}")
         self._position += 1
         return found
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -19,7 +19,7 @@
 from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
 from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
-MAX_REMOVED_NAMES = 5000  # that operators may still use: six hours of removals in the largest fleet
+MAX_REMOVED_NAMES = 5000  # still accepted in operators' calls: six hours of removals in the largest fleet
 ENTRIES_PER_BATCH = 1000
 
 PublishList = Callable[[EndpointList, ListKind | None], None]
--- a/quota_ingress/net/discovery/watch_retry.py
+++ b/quota_ingress/net/discovery/watch_retry.py
@@ -32,7 +32,7 @@
     """How a call to discovery, or the watch that it opened, ended."""
 
     DISCONNECTED = auto()  # connection failed or was lost
-    SILENT = auto()  # heartbeat timeout
+    SILENT = auto()  # no data within the timeout
     EMPTY = auto()  # the response ended properly without a line
     MALFORMED = auto()
     REJECTED = auto()
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -87,7 +87,9 @@
 def test_a_change_of_the_subset_notifies_the_policy_of_the_difference_only() -> None:
     network, gateway = LargeFleetNetwork(), Gateway(LARGE_FLEET_SETTINGS, 1)
     network.engine.update_endpoints(endpoint_list(*(endpoint_fields(n) for n in range(1000))))
-    assert len(network.registered_names()) == 1000 and network.last_event.ready_total == 0  # all endpoints
+    assert (
+        len(network.registered_names()) == 1000 and network.last_event.ready_total == 0
+    )  # 0: all are listed
     network.engine.update_endpoints(
         endpoint_list(*(endpoint_fields(n) for n in range(1000, 1050)), version=2, is_snapshot=False)
     )
@@ -178,9 +180,9 @@
     network, costs = LargeFleetNetwork(Gateway(LARGE_FLEET_SETTINGS, 1)), []
     overrides = OperatorOverrides(lambda: 0, network.engine.update_endpoints, network.engine.directory)
     overrides.apply_list(endpoint_list(*(endpoint_fields(n) for n in range(count))))
-    registered = next(int(name[2:], 16) for name in network.engine.endpoints.numbers)
+    number = next(int(name[2:], 16) for name in network.engine.endpoints.numbers)
     for n in range(40):
-        document = {"index": 2 + n, "snapshot": False, "endpoints": [endpoint_fields(registered, since_ms=n)]}
+        document = {"index": 2 + n, "snapshot": False, "endpoints": [endpoint_fields(number, since_ms=n)]}
         parser, line = EndpointListParser(), json.dumps(document).encode()
         begun = time.process_time()
         delta = parser.end_line(line)
