--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -108,8 +108,8 @@
         gateway.handle(now_us, EndpointsListed(kind, endpoints.version, listed))
 
     overrides = overrides_of_own_directory(lambda: now_us, list_endpoints)
-    endpoints = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in numbers]
-    overrides.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": endpoints}))
+    entries = [{"name": name, "address": f"{HOST}:1", "status": "up"} for name in numbers]
+    overrides.apply_list(decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries}))
     number = 0
 
     def endpoints_used() -> set[int]:
