--- a/quota_ingress/net/lifecycle/control_plane.py
+++ b/quota_ingress/net/lifecycle/control_plane.py
@@ -1,4 +1,4 @@
-"""The control-plane clients in force, and their change to those of a reloaded configuration."""
+"""Owns the discovery and counter clients, and replaces them when a reload changes their addresses."""
 
 from __future__ import annotations
 
@@ -15,31 +15,39 @@
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.lifecycle.upgrade_messages import EndpointListChange
 
-RELOAD_DEADLINE_SECONDS = 4.0  # after SIGHUP the list of the new discovery has to be in force
-COUNTER_SWITCH_SECONDS = 1.0  # after SIGHUP; the old counter closes its connections after 1.5 s
-MAX_FORWARDED_ENTRIES = 10_000  # of a list, to the other process of an upgrade: some 2 MB
+RELOAD_DEADLINE_SECONDS = 4.0  # after SIGHUP, until the new discovery's endpoint list must be in use
+COUNTER_SWITCH_SECONDS = 1.0  # after SIGHUP; below the 1.5 s after which the old counter closes connections
+MAX_FORWARDED_ENTRIES = 10_000  # of a list forwarded to the other process of an upgrade: about 2 MB
 
 
 class ControlPlaneClients:
-    """The clients of discovery and of the quota counter."""
+    """The clients of discovery and of the quota counter.
+
+    Attributes:
+        on_list_change: Called with each list change of up to MAX_FORWARDED_ENTRIES entries from discovery, to
+            forward it to the other process of an upgrade. None: nothing is forwarded.
+    """
 
     def __init__(self, engine: Engine, overrides: OperatorOverrides, config: Config) -> None:
-        """Connects to nothing until `start`."""
-        # Called with what discovery sends, for the other process of an upgrade.
+        """Opens no connection until `start`."""
         self.on_list_change: Callable[[EndpointListChange], None] | None = None
         self._engine = engine
         self._overrides = overrides
         self._config = config
         self._discovery: DiscoveryWatch | None = None  # None: not started
-        self._next_discovery: DiscoveryWatch | None = None  # until its list comes, when it replaces the other
+        self._next_discovery: DiscoveryWatch | None = None  # until its first list arrives
         self._counter: CounterClient | None = None
         self._counter_switch: asyncio.Task[None] | None = None
-        self._retiring: set[asyncio.Task[None]] = set()  # of counters that are no longer in force
-        self._list_version: int | None = None  # the last version that discovery sent
-        self._early_changes: list[EndpointListChange] = []  # from the other process, before `start`
+        self._retiring: set[asyncio.Task[None]] = set()  # tasks that drain replaced counter clients
+        self._list_version: int | None = None  # the last version received from discovery
+        self._early_changes: list[EndpointListChange] = []  # received from the other process before `start`
 
     def start(self, list_version: int | None) -> None:
-        """Connects to both; `list_version`: the version of the endpoint list that is held, if one is."""
+        """Connects to discovery and the counter.
+
+        Args:
+            list_version: The version of the endpoint list that is already applied; None if there is none.
+        """
         self._list_version = list_version
         self._discovery = self._new_discovery(self._config, list_version, NOTIFICATION_DEADLINE)
         self._counter = self._start_counter(self._config)
@@ -51,7 +59,7 @@
             self.apply_list_change(change)
 
     async def wait_for_list(self, timeout_seconds: float) -> None:
-        """Returns once discovery has sent a list or a change, or after the timeout."""
+        """Returns once discovery has sent a snapshot or a delta, or after the timeout."""
         if self._discovery:
             await _wait_for(self._discovery.first_list_received, timeout_seconds)
 
@@ -61,7 +69,10 @@
             await _wait_for(self._counter.connected, timeout_seconds)
 
     def apply(self, config: Config) -> None:
-        """Changes to the clients of a reloaded configuration; the old ones serve until these can."""
+        """Starts clients for addresses that a reload changed.
+
+        The old discovery stays in use until the new one has sent its list; see `_switch_counter`.
+        """
         newest = self._next_discovery or self._discovery
         if newest is None or config.discovery != newest.address:
             if self._next_discovery:
@@ -75,14 +86,18 @@
         self._config = config
 
     def apply_list_change(self, change: EndpointListChange) -> None:
-        """Takes what discovery has sent to the other process of an upgrade, if it is the same discovery."""
+        """Applies a list change forwarded by the other process of an upgrade.
+
+        A change from a discovery at another address is ignored; one that arrives before `start` is kept until
+        then.
+        """
         if self._discovery is None:
             self._early_changes.append(change)
         elif change.discovery == self._discovery.address:
             self._discovery.receive_from_peer(change.endpoints, change.after)
 
     def stop(self) -> None:
-        """Ends all connections at once."""
+        """Closes all connections immediately."""
         for task in (self._counter_switch, *self._retiring):
             if task:
                 task.cancel()
@@ -118,22 +133,22 @@
             self._discovery = discovery
             self._next_discovery = None
         if discovery is not self._discovery:
-            return  # it has been replaced, and read one more line before it was closed
+            return  # a replaced client may still deliver one more line before it closes
         previous_version = self._list_version
         self._list_version = endpoints.version
         if self.on_list_change and len(endpoints.packed) <= MAX_FORWARDED_ENTRIES:
-            # Before the overrides are laid over it: the other process has its own.
+            # Forwarded without the operator overrides: the other process applies its own.
             self.on_list_change(EndpointListChange(discovery.address, previous_version, endpoints))
         self._overrides.apply_list(endpoints)
 
     async def _switch_counter(self, config: Config) -> None:
-        """Calls go to the old counter until the new one is connected, or the old one is about to close."""
+        """Uses the old counter until the new one is connected, at most for COUNTER_SWITCH_SECONDS."""
         new = self._start_counter(config)
         old = self._counter
         try:
             if new:
                 await _wait_for(new.connected, COUNTER_SWITCH_SECONDS)
-        except asyncio.CancelledError:  # yet another configuration, or the end
+        except asyncio.CancelledError:  # another reload, or the process is stopping
             if new:
                 new.stop()
             raise
--- a/quota_ingress/net/lifecycle/graceful_shutdown.py
+++ b/quota_ingress/net/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process after SIGTERM: what has been taken is answered, and nothing may be left open."""
+"""Shutdown after SIGTERM: accepted requests are answered, and resources still open are reported."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from quota_ingress.net.engine.engine import Engine
 from quota_ingress.net.event_log import EventLog
 
-ACCEPT_SECONDS = 0.55  # after SIGTERM: new connections go on coming for 0.4 s
-MAX_DEADLINE_SECONDS = 3.0  # the longest request deadline that the platform waits for, and ...
-DEADLINE_MARGIN_SECONDS = 0.4  # ... what it waits beyond that, less a margin
-LAST_ANSWERS_SECONDS = 0.15  # after that, in which the last answers are written
+ACCEPT_SECONDS = 0.55  # after SIGTERM; new connections keep arriving for 0.4 s
+MAX_DEADLINE_SECONDS = 3.0  # the longest request deadline that the platform waits for
+DEADLINE_MARGIN_SECONDS = 0.4  # the platform's wait beyond that deadline, less a margin
+LAST_ANSWERS_SECONDS = 0.15  # after both, to write the last responses
 IDLE_CHECK_SECONDS = 0.01
-CLOSE_SECONDS = 0.03  # in which the loop has ended what was closed last
+CLOSE_SECONDS = 0.03  # for the event loop to finish closing connections
 
 
 async def finish_requests(engine: Engine, listener: Listener) -> None:
-    """Accepts for the stated while, finishes what was taken, and returns before the process is killed.
+    """Accepts for ACCEPT_SECONDS, finishes accepted requests, and returns before the process is killed.
 
-    What is still open then is failed. Where another process accepts already, this one does not.
+    Requests still open at the end are failed. After an upgrade, the successor accepts new connections and
+    this process accepts none.
     """
     loop = asyncio.get_running_loop()
     longest_deadline = max(each.deadline for each in engine.settings.classes) / 1e6
@@ -39,15 +40,15 @@
 
 
 async def report_leaks(open_counts: Mapping[str, Callable[[], int]], event_log: EventLog) -> None:
-    """Reports what still counts as open once everything has been closed: it was leaked on the way.
+    """Reports resources that still count as open after everything was closed: they have leaked.
 
     Args:
-        open_counts: What is counted, by its name in the report.
-        event_log: Where a leak is reported as a violation.
+        open_counts: Functions that return the number of open resources, by their name in the report.
+        event_log: Receives a violation if any count stays above zero.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + CLOSE_SECONDS
     while any(count() for count in open_counts.values()) and loop.time() < end:
         await asyncio.sleep(0)
-    if left := {name: count() for name, count in open_counts.items() if count()}:
-        event_log.violation("left behind", **left)
+    if leaked := {name: count() for name, count in open_counts.items() if count()}:
+        event_log.violation("left behind", **leaked)
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -1,4 +1,4 @@
-"""One ingress process: its parts put together, its start and its end, and what operators can ask of it."""
+"""One ingress process: builds and connects its parts, starts and stops them, and serves operators' calls."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.gateway import Gateway
 
-LIST_WAIT_SECONDS = 0.3  # at a start, for the list: the agent on this machine has it at once, or is silent
-COUNTER_WAIT_SECONDS = 0.5  # at a start while another process still serves, for the first connection
+LIST_WAIT_SECONDS = 0.3  # at start; the discovery agent on this machine has the list at once, or is silent
+COUNTER_WAIT_SECONDS = 0.5  # for the first counter connection at start, while a predecessor still serves
 
 log = logging.getLogger("quota_ingress")
 
 
 class Ingress:
-    """Everything together. It implements `quota_ingress.net.admin.OperatorControls`."""
+    """One ingress process. Implements `quota_ingress.net.admin.OperatorControls`."""
 
     def __init__(self, config: Config) -> None:
-        """Builds the parts; nothing is connected or listened on before `start`."""
+        """Builds the parts; opens no connection or listener before `start`."""
         operator_descriptors = ADMIN_DESCRIPTORS if config.admin else 0
         self._config = replace(config, known_endpoints=None)
-        self._known_endpoints = config.known_endpoints  # until taken in: a long list is not held twice
-        self.stopping = asyncio.Event()  # set by a signal, or once nothing is left after an upgrade
+        self._known_endpoints = config.known_endpoints  # released once applied: a long list is not held twice
+        self.stopping = asyncio.Event()  # set by a signal, or once all requests are finished after an upgrade
         self.clock = Clock()
         self.event_log = EventLog.from_environment()
         self.descriptors = DescriptorBudget(config.max_descriptors, operator_descriptors)
@@ -60,16 +60,16 @@
         self._upgrade = self._build_upgrade_coordinator()
 
     async def start(self) -> None:
-        """Returns once clients are accepted; where another process serves, it goes on until then.
+        """Returns once client connections are accepted; a predecessor serves until then.
 
-        Operators are answered first, whatever else takes its time.
+        The operators' interface starts first, so that no later step delays it.
         """
         config = self._config
         if config.admin:
             port = await self.admin.listen(*config.admin)
-            log.info("operators call at %s:%d", config.admin.host, port)
+            log.info("operators: listening for calls at %s:%d", config.admin.host, port)
         has_predecessor = await self._upgrade.find_predecessor() if self._upgrade else False
-        self.control_plane.start(self._apply_held_list())
+        self.control_plane.start(self._apply_previous_list())
         self.admin.on_list_known()
         await self.control_plane.wait_for_list(LIST_WAIT_SECONDS)
         if has_predecessor:
@@ -81,11 +81,11 @@
             self._upgrade.listen_for_successor()
 
     def reload(self, path: str) -> None:
-        """Reads the configuration again, and changes to the control plane that it names."""
+        """Reloads the configuration file at `path`, and applies its discovery and counter addresses."""
         self.reloader.reload(path)
 
     async def stop(self) -> None:
-        """Shuts down gracefully, and reports what was counted and what was left open."""
+        """Shuts down gracefully, then logs the event counts and reports leaked resources."""
         self._upgrade_process.stop()
         self.event_log.event("process", "stopping", open=self.engine.in_flight)
         await finish_requests(self.engine, self.listener)
@@ -109,7 +109,7 @@
     # Operators' calls: see OperatorControls.
 
     def ready(self) -> bool:
-        """Returns whether a request that comes now would be served."""
+        """Returns whether a request that arrives now would be served."""
         return self.listener.is_accepting and not self.listener.stopping and self.engine.can_send
 
     def take_offline(self, name: str) -> bool:
@@ -135,7 +135,7 @@
         if self._upgrade:
             self._upgrade.send_operator_call(call)
 
-    # The start.
+    # Start.
 
     def _build_engine(self) -> Engine:
         config = self._config
@@ -156,7 +156,7 @@
         )
 
     def _build_upgrade_coordinator(self) -> UpgradeCoordinator | None:
-        """None where the platform does not hold the listening socket, or there is no shared directory."""
+        """Returns None unless the platform holds the listening socket and there is a shared directory."""
         if self._config.inherited_listener is None or not self._config.shared_directory:
             return None
         coordinator = UpgradeCoordinator(self._upgrade_process, self._config.shared_directory)
@@ -168,18 +168,18 @@
             self.clock, self.engine, self.overrides, self.listener, self.descriptors, self.control_plane
         )
 
-    def _apply_held_list(self) -> int | None:
-        """Applies the list of the process before this one, if any is known, and returns its version."""
+    def _apply_previous_list(self) -> int | None:
+        """Applies the previous process's endpoint list, if known, and returns its version."""
         restored = self._upgrade_process.take_restored_list()
-        held = self._known_endpoints if restored is None else restored
+        previous_list = self._known_endpoints if restored is None else restored
         self._known_endpoints = None
-        if held is None:
+        if previous_list is None:
             return None
-        self.overrides.apply_list(held, ListKind.CACHED)
-        return held.version
+        self.overrides.apply_list(previous_list, ListKind.CACHED)
+        return previous_list.version
 
     async def _take_over(self) -> None:
-        """Takes the place of the process that serves, once this one could serve."""
+        """Takes over from the predecessor, once this process is able to serve."""
         await self.control_plane.wait_for_counter(COUNTER_WAIT_SECONDS)
         gc.collect()
         gc.freeze()
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -1,8 +1,9 @@
-"""Coordinates an upgrade: a new process, started beside the one that serves, takes over from it.
+"""Coordinates an upgrade: a new process starts beside the serving process and takes over from it.
 
-The process that serves listens on a Unix socket in the shared directory. A new process connects to it, asks
-for its state (`Question.HELLO`), prepares itself, and takes over (`Question.TAKE`). While both live, each
-forwards operators' calls and what discovery sends it, since the other one's own watch may not be answered.
+The serving process listens on a Unix socket in the shared directory. A new process connects to it, asks for
+its state (`Question.HELLO`), prepares itself, and takes over (`Question.TAKE`). While both processes run,
+each forwards operators' calls and list changes to the other, because discovery may leave the other's own
+watch unanswered.
 """
 
 from __future__ import annotations
@@ -30,41 +31,41 @@
     encode_state,
 )
 
-SOCKET_NAME = "handover"  # in the shared directory; versions find one another by it
+SOCKET_NAME = "handover"  # in the shared directory; must be the same in all versions
 LISTEN_RETRY_SECONDS = 1.0
 
 log = logging.getLogger(__name__)
 
 
 class UpgradeParticipant(Protocol):
-    """What a process does at its side of an upgrade."""
+    """What a process does on its side of an upgrade."""
 
     def serving_state(self) -> ServingState:
-        """Returns what this process holds, but for the entries of the endpoint list."""
+        """Returns this process's state, without the entries of the endpoint list."""
 
     def list_parts(self) -> Iterable[Mapping[str, PackedEntry]]:
-        """Returns the endpoint list, packed, by name, some entries at a time."""
+        """Returns the endpoint list in batches of packed entries, by name."""
 
     def restore_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
-        """Takes such a part of the other process's list."""
+        """Stores one batch of the predecessor's endpoint list, packed, by name."""
 
     def restore_state(self, state: ServingState) -> None:
-        """Takes over the other process's state, after all parts of its list."""
+        """Restores the predecessor's state; called after all batches of its list."""
 
     def hand_over(self) -> Document:
-        """Stops accepting, and returns the policy's snapshot: another process serves from now on."""
+        """Stops accepting connections, and returns the policy's snapshot for the successor."""
 
     def apply_operator_call(self, call: OperatorCall) -> None:
-        """Follows an operator's call that the other process has answered."""
+        """Applies an operator's call that the other process has answered."""
 
     def apply_list_change(self, change: EndpointListChange) -> None:
-        """Follows what discovery has sent to the other process."""
+        """Applies a list change that discovery has sent to the other process."""
 
     def share_descriptors(self, with_other: bool) -> None:
-        """Another process holds descriptors under the same limit from now on, or no longer does."""
+        """Is called when another process starts, or stops, holding descriptors under the same limit."""
 
     def on_successor_lost(self) -> None:
-        """The process that took over is gone: serves again."""
+        """Serves again: the process that took over has ended."""
 
 
 class UpgradeCoordinator:
@@ -74,32 +75,32 @@
     """
 
     def __init__(self, participant: UpgradeParticipant, directory: str) -> None:
-        """Does nothing yet.
+        """Opens no socket yet.
 
         Args:
             participant: This process.
-            directory: A directory that all processes of this ingress share.
+            directory: A directory shared by all processes of this ingress.
         """
         self._participant = participant
         self._path = os.path.join(directory, SOCKET_NAME)
         self._own_path = f"{self._path}.{os.getpid()}"
         self._has_handed_over = False
-        self._channel: UpgradeChannel | None = None  # to the other process, if there is one
-        self._other_has_list = False  # the other process holds the endpoint list that this one does
+        self._channel: UpgradeChannel | None = None  # to the other process; None if there is none
+        self._other_has_list = False  # both processes hold the same endpoint list
         self._acceptor: Acceptor | None = None
         self._listen_retry: asyncio.TimerHandle | None = None
 
     async def find_predecessor(self) -> bool:
-        """Looks for a process that serves, and has the participant take over its state.
+        """Connects to the serving process, and restores its state into the participant.
 
-        Returns False where there is none, or it does not answer.
+        Returns False if there is no serving process, or it does not answer.
         """
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 _, channel = await loop.create_unix_connection(lambda: UpgradeChannel(self), self._path)
-        except (OSError, ValueError) as error:  # missing or stale, or a path too long for a socket
-            log.info("upgrade: no process to take over from: %s", error)
+        except (OSError, ValueError) as error:  # no file, a stale file, or a path too long for a socket
+            log.info("upgrade: no serving process found: %s", error)
             return False
         self._channel = channel
         self._participant.share_descriptors(with_other=True)
@@ -115,29 +116,32 @@
         return await self._ask(Question.TAKE)
 
     def listen_for_successor(self) -> None:
-        """Listens for a new process. Where that fails it is tried again until `stop`."""
+        """Listens for a new process; if that fails, tries again until `stop`."""
         self._stop_listening()
         try:
             self._acceptor = self._listen()
         except OSError as error:
-            log.warning("upgrade: no upgrade can be offered: %s", error)
+            log.warning("upgrade: cannot listen for a successor: %s", error)
             loop = asyncio.get_running_loop()
             self._listen_retry = loop.call_later(LISTEN_RETRY_SECONDS, self.listen_for_successor)
             return
         self._acceptor.start()
 
     def send_operator_call(self, call: OperatorCall) -> None:
-        """Passes on an operator's call that this process has answered."""
+        """Forwards an operator's call that this process has answered."""
         if self._channel:
             self._channel.send(call)
 
     def send_list_change(self, change: EndpointListChange) -> None:
-        """Passes on what discovery has sent, to a process that holds the list before it."""
+        """Forwards a list change from discovery, if the other process holds the list that it applies to."""
         if self._channel and self._other_has_list:
             self._channel.send(change)
 
     def stop(self) -> None:
-        """Ends the channel and the offer. The socket's name stays: it is stale now, or the next process's."""
+        """Closes the channel and stops listening.
+
+        The socket's file stays: it is stale, or belongs to the next process.
+        """
         self._stop_listening()
         channel = self._channel
         self._channel = None
@@ -146,12 +150,12 @@
         with contextlib.suppress(OSError):
             os.unlink(self._own_path)
 
-    # The channel's handler.
+    # Implementation of ChannelHandler.
 
     def on_question(self, channel: UpgradeChannel, question: Question) -> Document:
-        """Answers the new process."""
+        """Returns the answer to a new process; raises MessageError for a second one or a repeated TAKE."""
         if self._channel not in (None, channel):
-            raise MessageError("there is another process already")
+            raise MessageError("an upgrade channel to another process is open already")
         self._channel = channel
         match question:
             case Question.HELLO:
@@ -160,22 +164,22 @@
                 self._has_handed_over = True
                 return self._participant.hand_over()
             case Question.TAKE:
-                raise MessageError("another process has taken over already")
+                raise MessageError("this process has handed over already")
 
     def on_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
-        """See ChannelHandler."""
+        """Passes a batch of the other process's endpoint list to the participant."""
         self._participant.restore_list_part(entries)
 
     def on_operator_call(self, call: OperatorCall) -> None:
-        """See ChannelHandler."""
+        """Passes an operator's call at the other process to the participant."""
         self._participant.apply_operator_call(call)
 
     def on_list_change(self, change: EndpointListChange) -> None:
-        """See ChannelHandler."""
+        """Passes a list change from the other process's discovery to the participant."""
         self._participant.apply_list_change(change)
 
     def on_closed(self, channel: UpgradeChannel) -> None:
-        """The other process is gone; if it had taken over, this one serves again."""
+        """Handles the end of the other process: if it had taken over, this one serves again."""
         if channel is not self._channel:
             return
         self._channel = None
@@ -184,7 +188,7 @@
         if self._has_handed_over:
             self._has_handed_over = False
             self._participant.on_successor_lost()
-            self.listen_for_successor()  # the other one may have offered itself under the same name
+            self.listen_for_successor()  # the successor may have bound the same name
 
     def _describe(self, channel: UpgradeChannel) -> Document:
         self._participant.share_descriptors(with_other=True)
@@ -197,7 +201,7 @@
         try:
             self._participant.restore_state(decode_state(content))
         except ValueError as error:
-            log.warning("upgrade: the other process's state cannot be read: %r", error)
+            log.warning("upgrade: cannot restore the other process's state: %r", error)
 
     async def _ask(
         self, question: Question, on_answer: Callable[[Document], None] | None = None
@@ -207,11 +211,11 @@
         try:
             return await self._channel.ask(question, on_answer)
         except (OSError, TimeoutError) as error:
-            log.warning("upgrade: %s: %s", question.value, error or "no answer")
+            log.warning("upgrade: no answer to %s: %r", question.value, error or "timed out")
             return None
 
     def _listen(self) -> Acceptor:
-        """Binds under a name of its own and renames, so that whoever finds the shared name can connect."""
+        """Listens under a private name, then renames it: the socket accepts before the shared name leads to it."""
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with contextlib.suppress(FileNotFoundError):
--- a/quota_ingress/net/lifecycle/upgrade_channel.py
+++ b/quota_ingress/net/lifecycle/upgrade_channel.py
@@ -1,6 +1,6 @@
 """One connection between the two processes of an upgrade, over a Unix socket.
 
-It stays open while both processes live: its end tells each that the other one is gone.
+The connection stays open while both processes run; its end tells each process that the other has ended.
 """
 
 from __future__ import annotations
@@ -29,36 +29,40 @@
 )
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
-ANSWER_TIMEOUT_SECONDS = 1.5  # of the 6 s in all that a new process has until it must serve
+ANSWER_TIMEOUT_SECONDS = 1.5  # per question; a new process must serve within 6 s of its start
 
 log = logging.getLogger(__name__)
 
 
 class ChannelHandler(Protocol):
-    """What is told of the other process's messages."""
+    """Receives the messages of the other process."""
 
     def on_question(self, channel: UpgradeChannel, question: Question) -> Document:
-        """Returns the answer's content. MessageError: the channel is closed in its place."""
+        """Returns the content of the answer.
+
+        Raises:
+            MessageError: The question is refused; the channel is closed.
+        """
 
     def on_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
-        """Some entries of the other process's endpoint list, packed, by name."""
+        """Receives one batch of the other process's endpoint list, packed, by name."""
 
     def on_operator_call(self, call: OperatorCall) -> None:
-        """The other process has answered an operator's call."""
+        """Receives an operator's call that the other process has answered."""
 
     def on_list_change(self, change: EndpointListChange) -> None:
-        """Discovery has sent the other process a list or a change."""
+        """Receives a list change that discovery has sent to the other process."""
 
     def on_closed(self, channel: UpgradeChannel) -> None:
-        """The channel has ended, and most likely the other process with it."""
+        """Is called once the channel has closed: most likely, the other process has ended."""
 
 
 class UpgradeChannel(asyncio.Protocol):
-    """The asyncio protocol of such a connection: lines in, messages out, one question at a time."""
+    """The asyncio protocol of the connection: one message per line, one open question at a time."""
 
     def __init__(self, handler: ChannelHandler) -> None:
         self._handler = handler
-        self._unread = bytearray()  # the start of a line that has not ended
+        self._unread = bytearray()  # the incomplete last line
         self._answer: asyncio.Future[Document] | None = None
         self._on_answer: Callable[[Document], None] | None = None
         self._transport: asyncio.Transport | None = None
@@ -69,26 +73,26 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """See asyncio.BaseProtocol."""
-        self._fail_question("the channel ended")
+        self._fail_question("the upgrade channel closed")
         self._handler.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """See asyncio.Protocol. A line that cannot be read ends the channel."""
+        """See asyncio.Protocol. A line that cannot be decoded closes the channel."""
         self._unread += data
         *lines, unread = self._unread.split(b"\n")
         self._unread = bytearray(unread)
         try:
             if len(unread) > MAX_LINE_BYTES:
-                raise MessageError("a line without end")
+                raise MessageError(f"line too long: {len(unread)} bytes without a line end")
             for line in lines:
                 self._receive_line(line)
         except MessageError as error:
-            log.warning("upgrade: the other process's message cannot be read: %s", error)
-            self._fail_question("a message cannot be read")
+            log.warning("upgrade: closing the channel, message not accepted: %s", error)
+            self._fail_question("a message was not accepted")
             self.abort()
 
     def send(self, message: Message) -> None:
-        """Writes the message, unless the channel is closing."""
+        """Writes the message; drops it if the channel is closing."""
         if self._transport and not self._transport.is_closing():
             self._transport.write(encode(message))
 
@@ -96,13 +100,13 @@
         """Sends a question, and returns the content of the answer.
 
         Args:
-            question: Only one may be open at a time.
-            on_answer: Is called before any message behind the answer is read. Parts of the endpoint list
-                are taken only where it is given.
+            question: The question; only one may be open at a time.
+            on_answer: Is called before any message after the answer is read. If None, batches of the endpoint
+                list are ignored.
 
         Raises:
-            ConnectionError: The channel ended, or a message could not be read.
-            TimeoutError: No answer came in time.
+            ConnectionError: The channel closed, or a message was not accepted.
+            TimeoutError: No answer arrived within ANSWER_TIMEOUT_SECONDS.
         """
         self._on_answer = on_answer
         self._answer = asyncio.get_running_loop().create_future()
@@ -111,7 +115,7 @@
             return await self._answer
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         if self._transport:
             self._transport.abort()
 
@@ -119,7 +123,7 @@
         try:
             message = decode(line)
         except EndpointListChangeError as error:
-            log.warning("upgrade: the other process's change of the endpoint list cannot be read: %s", error)
+            log.warning("upgrade: ignoring a list change that cannot be decoded: %s", error)
             return
         if message is not None:
             self._receive(message)
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -1,8 +1,8 @@
-"""The messages between the two processes of an upgrade, and their codec: JSON, a line a message.
+"""The messages between the two processes of an upgrade, and their codec: one JSON object per line.
 
-The keys, their order and the forms of the values are those of the versions in service: a process must be
-able to take over from an older one, and to hand over to it. The answer to `Question.TAKE` is the policy's
-snapshot, which `quota_ingress.net.engine.snapshot_codec` writes and reads.
+The keys, their order and the forms of the values must stay those of the versions in service: a process must
+be able to take over from an older version, and to hand over to it. The answer to `Question.TAKE` is the
+policy's snapshot, which `quota_ingress.net.engine.snapshot_codec` encodes and decodes.
 
 The messages are NamedTuples, since each dataclass would add 0.7 ms to the program's start.
 """
@@ -19,54 +19,54 @@
 from quota_ingress.net.discovery.operator_overrides import OverridesSnapshot
 from quota_ingress.net.discovery.packed_entry import PackedEntry, pack_entry, unpack_entry
 
-VERSION = 1  # messages of another version are not understood: a start goes on without them
+VERSION = 1  # messages of another version are rejected: the new process then starts without a predecessor
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, IndexError, OverflowError)
 
 Document = dict[str, Any]
 
 
 class MessageError(ValueError):
-    """A line is no message of this version, or a part of it is missing or of the wrong type."""
+    """A line is not a message of this version: a field is missing, unknown or of the wrong type."""
 
 
 class EndpointListChangeError(MessageError):
-    """A change of the endpoint list cannot be read; the messages after it can."""
+    """A list change cannot be decoded; later messages are still decoded."""
 
 
 class Question(Enum):
-    """What the new process asks of the one that serves."""
+    """What the new process asks of the serving process."""
 
-    HELLO = "hello"  # answered with a ServingState, after the ListParts
-    TAKE = "take"  # answered with the policy's snapshot; the other process accepts no more
+    HELLO = "hello"  # answered with ListParts, then a ServingState
+    TAKE = "take"  # answered with the policy's snapshot; the serving process stops accepting
 
 
 class Ask(NamedTuple):
-    """A question; each is answered once."""
+    """A question to the serving process; each gets one answer."""
 
     question: Question
 
 
 class Answer(NamedTuple):
-    """The answer to the last question, not decoded: its form depends on the question."""
+    """The answer to the last question; its content, not decoded yet, depends on the question."""
 
     content: Document
 
 
 class ListPart(NamedTuple):
-    """Some entries of the endpoint list, sent before the answer to `Question.HELLO`."""
+    """A batch of entries of the endpoint list, sent before the answer to `Question.HELLO`."""
 
     entries: Mapping[str, PackedEntry]  # by name
 
 
 class EndpointCall(NamedTuple):
-    """An operator's call about one endpoint, for the process at which it was not made."""
+    """An operator's call that takes an endpoint offline or puts it online, forwarded to the other process."""
 
     name: str
     is_offline: bool
 
 
 class DrainCall(NamedTuple):
-    """An operator's call to drain the ingress, or to end the drain."""
+    """An operator's call that starts or ends a drain of the ingress, forwarded to the other process."""
 
     is_draining: bool
 
@@ -75,27 +75,27 @@
 
 
 class EndpointListChange(NamedTuple):
-    """A list, or a change of one, that discovery has sent to the other process."""
+    """A snapshot or delta of the endpoint list from discovery, forwarded to the other process."""
 
-    discovery: tuple[str, int]  # the address that it came from
-    after: int | None  # the version that it is a change on top of
+    discovery: tuple[str, int]  # host and port of the discovery that sent it
+    after: int | None  # the list version that the sender held before; None: no list
     endpoints: EndpointList
 
 
 class ServingState(NamedTuple):
-    """What the process that serves holds besides its requests."""
+    """The state of the serving process, without its requests."""
 
     overrides: OverridesSnapshot
     is_draining: bool
-    clock_base_us: int | None  # None: a version that does not say
-    endpoints: EndpointList | None = None  # from versions that send the list whole, not in parts
+    clock_base_us: int | None  # None: an older version, which does not send it
+    endpoints: EndpointList | None = None  # from older versions, which send no ListParts
 
 
 Message = Ask | Answer | ListPart | EndpointCall | DrainCall | EndpointListChange
 
 
 def encode(message: Message) -> bytes:
-    """Returns the line for `message`, with its end."""
+    """Returns the line for `message`, with the line end."""
     match message:
         case Ask(question):
             content: Document = {"ask": question.value}
@@ -113,16 +113,16 @@
 
 
 def decode(line: bytes | bytearray) -> Message | None:
-    """Returns the message in `line`; None for a kind that this version does not know.
+    """Returns the message in `line`; None for an unknown kind of message.
 
     Raises:
-        EndpointListChangeError: Only this change of the endpoint list is lost.
-        MessageError: The line cannot be read.
+        EndpointListChangeError: A list change cannot be decoded; the channel can go on without it.
+        MessageError: The line cannot be decoded.
     """
     try:
         document = json.loads(line)
         if not isinstance(document, dict) or document.get("version") != VERSION:
-            raise MessageError("a message of another version, or none")
+            raise MessageError(f"not a message of version {VERSION}")
         return _decode_kind(document)
     except MessageError:
         raise
@@ -147,7 +147,7 @@
     """Returns the state in the answer to `Question.HELLO`.
 
     Raises:
-        MessageError: A part of it is missing or is of the wrong type.
+        MessageError: A field is missing or of the wrong type.
     """
     try:
         endpoints = decode_endpoint_list(content["listing"]) if "listing" in content else None
@@ -174,13 +174,13 @@
         case {"answer": dict(content)}:
             return Answer(content)
         case {"answer": _}:
-            raise MessageError("the answer is no object")
+            raise MessageError("the content of the answer is not a JSON object")
         case _:
             return None
 
 
 def _decode_entries(entries: Mapping[str, str]) -> dict[str, PackedEntry]:
-    """Returns the entries as this version packs them; one that cannot be unpacked raises."""
+    """Returns the entries as this version packs them; raises ValueError for one that cannot be unpacked."""
     return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -1,4 +1,4 @@
-"""This process's side of an upgrade: what it gives to its successor, and takes from its predecessor."""
+"""This process's side of an upgrade: the state it gives to a successor, or takes from a predecessor."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ServingState,
 )
 
-STANDBY_SECONDS = 1.0  # that a process stays after it has handed over: its successor may die of its start
+STANDBY_SECONDS = 1.0  # that a process runs on after the handover: its successor may die during its start
 IDLE_CHECK_SECONDS = 0.01
 
 log = logging.getLogger("quota_ingress")
@@ -42,33 +42,33 @@
 
 
 class UpgradeProcess:
-    """The participant of `UpgradeCoordinator` that stands for this process."""
+    """Implements UpgradeParticipant for this process."""
 
     def __init__(self, parts: SharedParts, stopping: asyncio.Event) -> None:
         """Changes nothing yet.
 
         Args:
-            parts: What is given away, taken over and told to change.
-            stopping: Is set once this process has handed over and has nothing left to finish.
+            parts: The parts of this process whose state is handed over, restored or changed.
+            stopping: Is set once this process has handed over and finished all requests.
         """
         self._parts = parts
         self._stopping = stopping
-        self._leaving: asyncio.Task[None] | None = None
+        self._exit_task: asyncio.Task[None] | None = None
         self._restored_list: EndpointList | None = None
 
     def take_restored_list(self) -> EndpointList | None:
-        """Returns the predecessor's endpoint list, once; None if there was none to be had."""
+        """Returns the predecessor's endpoint list on the first call; None if none was restored."""
         restored = self._restored_list
         self._restored_list = None
         return restored
 
     def stop(self) -> None:
-        """Ends what this process does only because it has handed over."""
-        if self._leaving:
-            self._leaving.cancel()
+        """Cancels the exit that a handover has scheduled."""
+        if self._exit_task:
+            self._exit_task.cancel()
 
     def serving_state(self) -> ServingState:
-        """See UpgradeParticipant."""
+        """Returns the overrides, the drain and the clock of this process."""
         return ServingState(
             overrides=self._parts.overrides.snapshot(),
             is_draining=self._parts.listener.out_of_service,
@@ -76,18 +76,18 @@
         )
 
     def list_parts(self) -> Iterable[Mapping[str, PackedEntry]]:
-        """See UpgradeParticipant."""
+        """Returns this process's endpoint list in batches of packed entries, by name."""
         return self._parts.overrides.entry_batches()
 
     def restore_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
-        """See UpgradeParticipant."""
+        """Stores one batch of the predecessor's endpoint list, until `restore_state`."""
         self._parts.overrides.restore_entries(entries)
 
     def restore_state(self, state: ServingState) -> None:
-        """Goes on with the predecessor's clock, overrides, endpoint list and drain.
+        """Restores the predecessor's clock, overrides, endpoint list and drain.
 
         Raises:
-            IncompleteListError: Some of its list did not come; only the clock is taken over.
+            IncompleteListError: Entries of its list are missing; only the clock has been restored.
         """
         if state.clock_base_us is not None:
             self._parts.clock.adopt(state.clock_base_us)
@@ -95,16 +95,16 @@
         self._parts.listener.set_out_of_service(state.is_draining)
 
     def hand_over(self) -> Document:
-        """See UpgradeParticipant."""
+        """Stops accepting, schedules the end of this process, and returns the policy's snapshot."""
         engine = self._parts.engine
-        log.info("upgrade: another process accepts from now on")
+        log.info("upgrade: handed over, another process accepts new connections")
         engine.event_log.event("process", "handed over", open=engine.in_flight)
         self._parts.listener.hand_over()
-        self._leaving = asyncio.get_running_loop().create_task(self._leave())
+        self._exit_task = asyncio.get_running_loop().create_task(self._exit_when_finished())
         return engine.hand_over()
 
     def apply_operator_call(self, call: OperatorCall) -> None:
-        """See UpgradeParticipant."""
+        """Applies an operator's call at the other process: a drain, or an endpoint's state."""
         match call:
             case DrainCall(is_draining):
                 self._parts.listener.set_out_of_service(is_draining)
@@ -112,28 +112,31 @@
                 self._parts.overrides.apply_operator_call(name, is_offline)
 
     def apply_list_change(self, change: EndpointListChange) -> None:
-        """See UpgradeParticipant."""
+        """Applies a list change that the other process has received from discovery."""
         self._parts.control_plane.apply_list_change(change)
 
     def share_descriptors(self, with_other: bool) -> None:
-        """See UpgradeParticipant."""
+        """Halves this process's descriptors while another process runs; restores them afterwards."""
         self._parts.descriptors.set_shared(with_other)
         self._parts.listener.hard_limit = self._parts.descriptors.client_hard_limit
 
     def on_successor_lost(self) -> None:
-        """Serves again, unless this process is at its end, too."""
+        """Serves again, unless this process is stopping, too."""
         if self._stopping.is_set():
             return
-        log.warning("upgrade: the process that took over is gone, accepting again")
+        log.warning("upgrade: the process that took over has ended, accepting connections again")
         self._parts.engine.event_log.event("process", "serving again")
-        if self._leaving:
-            self._leaving.cancel()
+        if self._exit_task:
+            self._exit_task.cancel()
         self._parts.listener.resume_serving()
 
-    async def _leave(self) -> None:
-        """Stays for a while even with nothing to finish, so that there is a process to serve again."""
+    async def _exit_when_finished(self) -> None:
+        """Ends the process once its requests are finished, after STANDBY_SECONDS at the earliest.
+
+        Until then the process can serve again if its successor dies.
+        """
         await asyncio.sleep(STANDBY_SECONDS)
         while self._parts.engine.in_flight or self._parts.listener.connections:
             await asyncio.sleep(IDLE_CHECK_SECONDS)
-        log.info("upgrade: nothing is left to finish")
+        log.info("upgrade: all requests and connections finished, ending")
         self._stopping.set()
