--- a/quota_ingress/__init__.py
+++ b/quota_ingress/__init__.py
@@ -1,1 +1,1 @@
-"""An HTTP/1.1 ingress that holds customers' quotas over a fleet of gateways."""
+"""An HTTP/1.1 ingress that enforces customers' quotas across a fleet of gateways."""
--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -1,7 +1,7 @@
-"""The program's entry: `python -m quota_ingress`, one ingress that runs until SIGTERM.
+"""The entry point, `python -m quota_ingress`: runs one ingress until SIGTERM or SIGINT.
 
-`EDGE_CONFIG` names the configuration file. SIGHUP reloads it. The process ends with 0 after SIGTERM or
-SIGINT, and with 1 and one line on standard error if it cannot start.
+`EDGE_CONFIG` names the configuration file; SIGHUP reloads it. The exit code is 0 after a shutdown, or 1, with
+one line on standard error, if the ingress cannot start.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 async def serve(config: Config, path: str) -> None:
-    """Runs one ingress until a stop signal, or until another process has taken over and nothing is left.
+    """Runs one ingress until a stop signal, or until its requests are finished after an upgrade.
 
     Args:
-        config: The configuration of the start.
-        path: The file to read at SIGHUP.
+        config: The configuration to start with.
+        path: The configuration file, read again after SIGHUP.
     """
     loop = asyncio.get_running_loop()
     ingress = Ingress(config)
-    del config  # and the endpoint list in it
+    del config  # frees its endpoint list
     reload_requested = asyncio.Event()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, ingress.stopping.set)
@@ -44,17 +44,19 @@
     if reload_requested.is_set():
         ingress.reload(path)
     await ingress.stopping.wait()
-    loop.add_signal_handler(signal.SIGHUP, log.info, "shutting down: the configuration is not reloaded")
+    loop.add_signal_handler(
+        signal.SIGHUP, log.info, "shutting down: SIGHUP ignored, configuration not reloaded"
+    )
     await ingress.stop()
 
 
 def main() -> int:
-    """Returns the exit code."""
+    """Runs the program; returns the exit code."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     path = os.environ.get("EDGE_CONFIG", "")
     try:
         uvloop.run(serve(load_config(path, os.environ), path))
-        for number in (*STOP_SIGNALS, signal.SIGHUP):  # Python's handlers go before the process does
+        for number in (*STOP_SIGNALS, signal.SIGHUP):  # Python restores the default handlers before it exits
             signal.signal(number, signal.SIG_IGN)
     except (ConfigError, OSError) as error:
         print(f"quota_ingress: {error}", file=sys.stderr)
--- a/quota_ingress/config.py
+++ b/quota_ingress/config.py
@@ -1,6 +1,6 @@
-"""The configuration of one ingress: the platform's JSON file, and what the environment overrides in it.
+"""The configuration of one ingress: the platform's JSON file, with overrides from the environment.
 
-The keys are the platform's; `quota_ingress.settings_codec` reads the settings in it.
+The platform defines the keys; `quota_ingress.settings_codec` decodes the key `settings`.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 
 class ConfigError(Exception):
-    """The configuration makes no sense; the message names the key and what is wrong with it."""
+    """The configuration is invalid; the message names the key and the fault."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file could not be read; a later attempt may succeed."""
+    """The configuration file could not be read; a later attempt may succeed."""
 
 
 class Address(NamedTuple):
-    """Where a TCP server listens."""
+    """The host and port of a TCP server."""
 
     host: str
     port: int
@@ -49,22 +49,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One ingress's configuration, checked."""
+    """The validated configuration of one ingress."""
 
     listen: Address
-    admin: Address | None  # None: there is no address for operators' calls
+    admin: Address | None  # for operators' calls; None: no such interface
     discovery: Address
     counter: Address | None
     seed: int
     max_descriptors: int
     memory_mb: float
-    inherited_listener: (
-        int | None
-    )  # the descriptor of the clients' listening socket, where the platform holds it
-    shared_directory: str  # seen by all processes of this ingress; "": there is none
-    known_endpoints: EndpointList | None  # as the previous process held them; None: not readable, or not read
+    inherited_listener: int | None  # descriptor of the clients' listening socket if the platform holds it
+    shared_directory: str  # shared by all processes of this ingress; "": none
+    known_endpoints: EndpointList | None  # as the previous process held them; None: invalid, or not decoded
     settings: Settings
-    settings_document: Document  # the settings as they came, for the names in them
+    settings_document: Document  # the settings before decoding, for the names in them
     idle_timeout_us: int  # for connections to endpoints
 
 
@@ -73,12 +71,12 @@
 
     Args:
         path: The JSON file.
-        environment: `EDGE_LISTEN`, `EDGE_ADMIN` and `EDGE_DISCOVERY` go before the file's keys;
-            `EDGE_LISTEN_FD` and `TMPDIR` are read here only.
+        environment: `EDGE_LISTEN`, `EDGE_ADMIN` and `EDGE_DISCOVERY` override the file's keys;
+            `EDGE_LISTEN_FD` and `TMPDIR` have no key in the file.
 
     Raises:
         ConfigUnreadableError: The file cannot be read.
-        ConfigError: The file is no JSON, a key is missing, or a value makes no sense.
+        ConfigError: The file is not valid JSON, a key is missing, or a value is invalid.
     """
     document = _read_document(path, pack_listed_endpoint)
     config = _parse_config(document, environment)
@@ -88,12 +86,12 @@
 def reload_config(path: str) -> Config:
     """Reads the configuration again while the process runs.
 
-    The environment is that of the start, so the file alone counts, and `known_endpoints` stays None:
-    the process holds a newer list.
+    The environment still has the values of the start, so it does not override the file. `known_endpoints`
+    is None, because the process holds a newer list.
 
     Raises:
         ConfigUnreadableError: The file cannot be read.
-        ConfigError: The file is no JSON, a key is missing, or a value makes no sense.
+        ConfigError: The file is not valid JSON, a key is missing, or a value is invalid.
     """
     return _parse_config(_read_document(path, discard_listed_endpoint), {})
 
@@ -107,7 +105,7 @@
     except PARSE_ERRORS as error:
         raise ConfigError(str(error)) from None
     if not isinstance(document, dict):
-        raise ConfigError("the configuration is no JSON object")
+        raise ConfigError(f"configuration is not a JSON object: got {type(document).__name__}")
     return document
 
 
@@ -139,7 +137,7 @@
 
 
 def _parse(name: str, parse: Callable[[], Value]) -> Value:
-    """Returns what `parse` does; its errors become a ConfigError that names the key."""
+    """Returns the result of `parse`; raises its errors as a ConfigError that names the key."""
     try:
         return parse()
     except PARSE_ERRORS as error:
@@ -166,10 +164,10 @@
 
 
 def _parse_known_endpoints(document: Document) -> EndpointList | None:
-    """A list that cannot be read stops no start: discovery is asked for the whole one."""
+    """Returns None for an invalid list, so that the start goes on and asks discovery for the whole list."""
     known = document.get("known")
     try:
         return EndpointList(0, True, {}) if known is None else decode_endpoint_list(known)
     except ValueError as error:
-        log.warning("known: not understood, asking for the whole list: %s", error)
+        log.warning("known: invalid endpoint list, asking discovery for the whole list: %s", error)
         return None
--- a/quota_ingress/net/__init__.py
+++ b/quota_ingress/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real ingress: sockets round the decision module."""
+"""The ingress's network code: sockets around the policy in `quota_ingress.policy`."""
--- a/quota_ingress/net/acceptor.py
+++ b/quota_ingress/net/acceptor.py
@@ -1,17 +1,17 @@
-"""Accepts connections from a listening socket, whatever accept(2) returns.
+"""Accepts connections from a listening socket, and handles each error of accept(2).
 
 | errno | meaning | reaction |
 | --- | --- | --- |
-| EAGAIN | the queue is empty | the next readiness is awaited |
-| EINTR | a signal came | Python calls again by itself (PEP 475) |
+| EAGAIN | the accept queue is empty | waits until the socket is readable |
+| EINTR | a signal interrupted the call | Python repeats the call (PEP 475) |
 | ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, \
-ETIMEDOUT, EPERM | that one connection failed before it was accepted | the next one is accepted |
-| EMFILE, ENFILE, ENOBUFS, ENOMEM | descriptors or memory are short | what waits stays in the queue, and the \
-next attempt follows after RETRY_DELAY_S |
-| any other | the socket itself is broken | logged, and the next attempt follows after RETRY_DELAY_S |
+ETIMEDOUT, EPERM | the connection failed before it was accepted | accepts the next one |
+| EMFILE, ENFILE, ENOBUFS, ENOMEM | out of descriptors or memory | leaves connections in the queue, and \
+tries again after RETRY_DELAY_S |
+| any other | the listening socket is broken | logs the error, and tries again after RETRY_DELAY_S |
 
-The loop's own server closes what waits when descriptors are short, requests and all; this one never closes a
-connection that it has not handed to a protocol.
+The event loop's own server closes waiting connections, with their requests, when descriptors run out. This
+acceptor never closes a connection before a protocol owns it.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from collections.abc import Callable
 from enum import Enum, auto
 
-MAX_ACCEPTS_PER_TURN = 32  # of the loop, so that open connections get their turn
-RETRY_DELAY_S = 0.02  # until the next attempt where descriptors or memory are short
-LISTEN_TIMEOUT_S = 10.0  # in which a start attempts to listen, where these are short
-BACKLOG = 4096  # connections that wait in the queue: past it the kernel turns them away
+MAX_ACCEPTS_PER_TURN = 32  # per event loop iteration, so that open connections are served in between
+RETRY_DELAY_S = 0.02  # after an attempt that failed for lack of descriptors or memory
+LISTEN_TIMEOUT_S = 10.0  # at start, for attempts to listen that fail for lack of them
+BACKLOG = 4096  # connections in the accept queue; beyond it, the kernel drops new ones
 CONNECTION_FAILED = frozenset(
     {
         errno.ECONNABORTED,
@@ -49,10 +49,16 @@
 
 
 async def listening_socket(host: str, port: int, inherited: int | None = None) -> socket.socket:
-    """Returns a socket that is bound and listening, or a copy of the descriptor that is inherited.
+    """Returns a bound, listening socket.
+
+    Args:
+        host: The address to bind; unused with `inherited`.
+        port: The port to bind; unused with `inherited`.
+        inherited: The descriptor of a socket that the platform holds, to be duplicated. None: a new socket.
 
     Raises:
-        OSError: There is none to be had; within LISTEN_TIMEOUT_S if only descriptors or memory are short.
+        OSError: The socket could not be created. For lack of descriptors or memory, it is raised only after
+            LISTEN_TIMEOUT_S.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + LISTEN_TIMEOUT_S
@@ -68,16 +74,16 @@
 
 
 class QueueState(Enum):
-    """What is known of the accept queue after a batch."""
+    """The state of the accept queue after a batch of accept calls."""
 
     EMPTY = auto()
     MORE = auto()
     SHORTAGE = auto()  # of descriptors or memory
-    NO_CAPACITY = auto()  # no further connection may be accepted
+    NO_CAPACITY = auto()  # `has_capacity` refused a further connection
 
 
 class Acceptor:
-    """Accepts connections for as long as there is capacity for them."""
+    """Accepts connections from one listening socket while `has_capacity` allows it."""
 
     def __init__(
         self,
@@ -89,12 +95,12 @@
         """Listens on `listening`, and accepts nothing until `start`.
 
         Args:
-            listening: The socket, which is the acceptor's from now on.
-            make_protocol: Is called for each connection with the moment (s of the loop's clock) since when it
-                may have waited to be accepted, or None.
-            has_capacity: Returns whether one more may be accepted, given the number of those that have no
-                protocol yet.
-            queued_before: The socket has been listening, and connections may have waited for any time.
+            listening: The socket; the acceptor owns and closes it.
+            make_protocol: Is called for each connection with the earliest time (loop time, s) at which the
+                connection may have entered the queue, or None if it did not wait.
+            has_capacity: Returns whether one more connection may be accepted, given the number of accepted
+                connections that have no protocol yet.
+            queued_before: The socket was listening already, and connections may have waited for any time.
         """
         listening.setblocking(False)
         listening.listen(BACKLOG)
@@ -103,33 +109,34 @@
         self._has_capacity = has_capacity
         self._loop = asyncio.get_running_loop()
         self._reading = False
-        self._at_capacity = False  # the reason why reading stopped
-        self._paused_at = 0.0 if queued_before else None  # until the queue has been found empty once
+        self._at_capacity = False  # reading stopped because `has_capacity` refused a connection
+        self._paused_at = 0.0 if queued_before else None  # loop time, s; None once the queue was found empty
         self._retry_timer: asyncio.TimerHandle | None = None
         self._opening: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Accepts from now on, until `pause`. Has no effect where it does already."""
+        """Accepts connections until `pause`. Has no effect if already started."""
         if not self._reading and self._socket.fileno() >= 0:
             self._reading = True
             self._loop.add_reader(self._socket.fileno(), self._accept_ready)
 
     def pause(self) -> None:
-        """Leaves what connects from now on in the queue."""
+        """Stops accepting; new connections wait in the queue."""
         self._cancel_retry()
         self._at_capacity = False
         self._stop_reading()
 
     def close(self) -> None:
-        """Accepts no more, and closes the socket."""
+        """Stops accepting, and closes the socket."""
         self.pause()
         self._socket.close()
 
     async def drain_queue(self, until: float, retry_interval: float) -> None:
-        """Accepts all that wait, and returns once each has its protocol.
+        """Accepts all connections in the queue, and returns once each has its protocol.
 
-        Where there is no capacity it waits, `retry_interval` s at a time, until that moment of the loop's
-        clock at the longest.
+        Args:
+            until: The loop time (s) at which accepting stops, even if connections still wait.
+            retry_interval: The wait (s) before the next attempt while there is no capacity.
         """
         self.pause()
         while self._loop.time() < until:
@@ -174,7 +181,7 @@
                 if error.errno in CONNECTION_FAILED:
                     continue
                 if error.errno not in SHORTAGE:
-                    log.error("accept: %s", error)
+                    log.error("accept: listening socket failed: %s", error)
                 return QueueState.SHORTAGE
             self._open(accepted)
         return QueueState.MORE
@@ -182,10 +189,10 @@
     def _open(self, accepted: socket.socket) -> None:
         task = self._loop.create_task(self._connect(accepted, self._paused_at))
         self._opening.add(task)
-        task.add_done_callback(self._opened)
+        task.add_done_callback(self._on_connected)
 
-    def _opened(self, task: asyncio.Task[None]) -> None:
-        """Stops counting the connection as one that has no protocol yet."""
+    def _on_connected(self, task: asyncio.Task[None]) -> None:
+        """Removes the connection from those that have no protocol yet."""
         self._opening.discard(task)
         if self._at_capacity:
             self.start()
@@ -193,6 +200,6 @@
     async def _connect(self, accepted: socket.socket, queued_since: float | None) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: self._make_protocol(queued_since), accepted)
-        except OSError as error:  # it has ended before its protocol was called
-            log.info("accept: %s", error)
+        except OSError as error:  # the connection ended before its protocol was called
+            log.info("accept: connection ended before its protocol was called: %s", error)
             accepted.close()
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -1,6 +1,7 @@
-"""The operators' calls: HTTP/1.1 on an address of their own, one call a connection.
+"""The operators' interface: HTTP/1.1 on its own address, one call per connection.
 
-Each call is owed its answer in 1 s, however crowded the ingress is and whoever else holds a connection here.
+Each call must be answered within 1 s, whatever the load of the ingress and however many other connections are
+open to this interface.
 """
 
 from __future__ import annotations
@@ -16,8 +17,10 @@
 from quota_ingress.net.acceptor import Acceptor, listening_socket
 from quota_ingress.net.http import FramingError, HttpConnection, MemoryBudget, Message, RequestReader
 
-LIST_WAIT_SECONDS = 0.7  # that a call waits at a start until the endpoint list and the bans are known
-CALL_TIMEOUT_SECONDS = 3.0  # for a call to come whole
+LIST_WAIT_SECONDS = (
+    0.7  # at start, for the endpoint list and the bans, before a call is answered without them
+)
+CALL_TIMEOUT_SECONDS = 3.0  # for a call to arrive completely
 READY_PATH = "/control/ready"
 OUT_OF_SERVICE_PATH = "/control/out-of-service"
 IN_SERVICE_PATH = "/control/in-service"
@@ -28,7 +31,7 @@
 
 
 class Status(IntEnum):
-    """The status codes of answers; `http.HTTPStatus` would take a tenth of the start's time to import."""
+    """The status codes of answers; importing `http.HTTPStatus` would take a tenth of the start's time."""
 
     OK = 200
     BAD_REQUEST = 400
@@ -42,15 +45,15 @@
 
     @property
     def reason(self) -> str:
-        """The reason phrase of the status line."""
+        """The reason phrase for the status line."""
         return "OK" if self is Status.OK else self.name.replace("_", " ").title()
 
 
 class OperatorControls(Protocol):
-    """What operators can ask for."""
+    """Carries out operators' calls."""
 
     def ready(self) -> bool:
-        """Returns whether a request that comes now would be served."""
+        """Returns whether a request that arrives now would be served."""
 
     def take_offline(self, name: str) -> bool:
         """Bans an endpoint; returns False if it was never listed."""
@@ -59,11 +62,11 @@
         """Ends an endpoint's ban; returns False if it was never listed."""
 
     def drain(self, is_draining: bool) -> None:
-        """Takes the ingress out of service, or back in."""
+        """Takes the ingress out of service if `is_draining`, else puts it back in service."""
 
 
 def decode_percent(text: str) -> str:
-    """Returns what `urllib.parse.unquote` does, whose import would add 5 ms to each start."""
+    """Returns the same as `urllib.parse.unquote`, whose import would add 5 ms to each start."""
     encoded = text.encode()
     return PERCENT_ENCODED.sub(lambda match: bytes.fromhex(match[1].decode()), encoded).decode(
         "utf-8", "replace"
@@ -71,32 +74,34 @@
 
 
 class Answer(NamedTuple):
-    """The answer to a call: its status, and a line of text."""
+    """The answer to a call: its status, and its body as one line of text."""
 
     status: Status
     text: str
 
 
 class Route(NamedTuple):
-    """A call that there is."""
+    """The method that a path accepts, and the function that carries out the call."""
 
     method: str
     carry_out: Callable[[], Answer]
 
 
 class AdminServer:
-    """Listens for operators' calls, and carries them out."""
+    """Listens for operators' calls, and carries them out.
+
+    Attributes:
+        connections: The open connections, oldest first, with the timer of each one's CALL_TIMEOUT_SECONDS.
+    """
 
     def __init__(self, controls: OperatorControls, max_connections: int) -> None:
-        """A connection past `max_connections` takes the place of the one that has been open longest."""
-        self.connections: dict[
-            AdminConnection, asyncio.TimerHandle
-        ] = {}  # the oldest first; each call's timeout
+        """Listens on nothing until `listen`. Beyond `max_connections`, a new connection closes the oldest."""
+        self.connections: dict[AdminConnection, asyncio.TimerHandle] = {}
         self._controls = controls
         self._max_connections = max_connections
         self._acceptor: Acceptor | None = None
         self._is_list_known = False
-        self._deferred: list[Callable[[], None]] = []  # calls, until the list is known
+        self._deferred: list[Callable[[], None]] = []  # answers that wait until the list is known
         self._routes = {
             READY_PATH: Route("GET", self._ready),
             OUT_OF_SERVICE_PATH: Route("POST", partial(self._drain, True)),
@@ -104,22 +109,22 @@
         }
 
     async def listen(self, host: str, port: int) -> int:
-        """Returns the port, which the system chooses where 0 is given."""
+        """Listens on `host` and `port`; returns the port, which the system chooses if `port` is 0."""
         listening = await listening_socket(host, port)
-        self._acceptor = Acceptor(listening, lambda waited_since: AdminConnection(self))
+        self._acceptor = Acceptor(listening, lambda queued_since: AdminConnection(self))
         self._acceptor.start()
         bound_port: int = listening.getsockname()[1]
         return bound_port
 
     def stop(self) -> None:
-        """Closes the listener and all connections at once."""
+        """Closes the listening socket and all connections immediately."""
         if self._acceptor:
             self._acceptor.close()
         for connection in list(self.connections):
             connection.transport.abort()
 
     def register(self, connection: AdminConnection) -> None:
-        """Takes in a new connection."""
+        """Adds a new connection and starts its timeout; closes the oldest one if there are too many."""
         if len(self.connections) >= self._max_connections:
             oldest = next(iter(self.connections))
             self.unregister(oldest)
@@ -129,12 +134,12 @@
         self.connections[connection] = loop.call_later(CALL_TIMEOUT_SECONDS, connection.answer, timeout)
 
     def unregister(self, connection: AdminConnection) -> None:
-        """Forgets a connection that has been answered or closed."""
+        """Removes a connection that has been answered or closed."""
         if timer := self.connections.pop(connection, None):
             timer.cancel()
 
     def on_list_known(self) -> None:
-        """Answers the deferred calls: the endpoint list and the predecessor's bans, if any, are known now."""
+        """Answers the deferred calls, now that the endpoint list and any bans of a predecessor are known."""
         self._is_list_known = True
         deferred = self._deferred
         self._deferred = []
@@ -142,9 +147,10 @@
             answer()
 
     def on_call(self, connection: AdminConnection, method: bytes, target: bytes) -> None:
-        """Answers a call, which may have to wait for the endpoint list, but not beyond its time.
+        """Answers a call; at start, waits up to LIST_WAIT_SECONDS for the endpoint list.
 
-        Before that, a listed endpoint would be unknown, and a ban undone by the predecessor's state.
+        Before the list is known, a listed endpoint would be answered as unknown, and the predecessor's state
+        would undo a ban. Calls of READY_PATH do not wait.
         """
 
         def answer() -> None:
@@ -184,14 +190,14 @@
     def _override(self, name: str, state: str) -> Answer:
         change = self._controls.take_offline if state == "offline" else self._controls.put_online
         is_known = change(name)
-        log.info("operators: backend %s %s%s", name, state, "" if is_known else ": never listed")
+        log.info("operators: backend %s %s%s", name, state, "" if is_known else ": not applied, never listed")
         if not is_known:
             return Answer(Status.NOT_FOUND, f"{name} was never listed")
         return Answer(Status.OK, f"{name} is {state}")
 
 
 class AdminConnection(HttpConnection):
-    """One operator's connection: one call; what comes behind it is ignored."""
+    """One operator's connection, which carries one call; further data is ignored."""
 
     def __init__(self, server: AdminServer) -> None:
         super().__init__(RequestReader(MemoryBudget()))
@@ -209,18 +215,18 @@
         self._server.unregister(self)
 
     def message_received(self, message: Message) -> None:
-        """See HttpConnection. A call has no body worth reading."""
+        """Answers a complete call; a body is ignored, and a long one is rejected."""
         if message.body.is_long:
             self.answer(Answer(Status.CONTENT_TOO_LARGE, "a call has no body"))
         elif message.body.complete and self in self._server.connections:
             self._server.on_call(self, message.method, message.target)
 
     def protocol_error(self, error: FramingError) -> None:
-        """See HttpConnection."""
+        """Answers a call that is not valid HTTP."""
         self.answer(Answer(Status(error.status), "not understood"))
 
     def answer(self, answer: Answer) -> None:
-        """Writes the answer and closes, unless that has been done."""
+        """Writes the answer and closes the connection; has no effect once it was answered or closed."""
         if self not in self._server.connections:
             return
         self._server.unregister(self)
--- a/quota_ingress/net/backoff.py
+++ b/quota_ingress/net/backoff.py
@@ -9,33 +9,33 @@
 
 
 class BackoffRange(NamedTuple):
-    """The waits of a backoff, in seconds."""
+    """The initial and the longest wait of a backoff, in seconds, before jitter."""
 
     initial: float
     longest: float
 
 
 class Backoff:
-    """The wait before the next attempt: doubled each time, with up to half of it more or less by chance.
+    """The waits between attempts: doubled after each attempt, with a random jitter of plus or minus half.
 
-    The jitter keeps a fleet whose calls were rejected together from coming back together.
+    Without the jitter, a fleet whose calls failed at the same time would repeat them at the same time.
     """
 
     def __init__(
         self, initial: float, longest: float, random_fraction: Callable[[], float] = random.random
     ) -> None:
-        """Starts at `initial` seconds and grows to `longest`; `random_fraction` draws from 0 to 1."""
+        """Waits grow from `initial` to `longest` seconds; `random_fraction` draws from 0 to 1."""
         self._initial = initial
         self._longest = longest
         self._random_fraction = random_fraction
         self._next = initial
 
     def on_success(self) -> None:
-        """Starts again from the initial wait."""
+        """Resets the next wait to the initial one."""
         self._next = self._initial
 
     def next_wait(self, limit: float = math.inf) -> float:
-        """Returns the next wait in seconds; one over `limit` is drawn anew from its upper half."""
+        """Returns the next wait in seconds; one over `limit` is drawn again, from `limit / 2` to `limit`."""
         wait = self._next * (0.5 + self._random_fraction())
         self._next = min(2 * self._next, self._longest)
         if wait <= limit:
--- a/quota_ingress/net/clock.py
+++ b/quota_ingress/net/clock.py
@@ -1,4 +1,4 @@
-"""The process's clock: read once from the wall clock, and carried on by the monotonic clock."""
+"""The process's clock: set once from the wall clock, then advanced by the monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,20 +6,23 @@
 
 
 class Clock:
-    """Unix microseconds that never go back.
+    """Unix time in microseconds that never goes backwards.
 
-    Quota windows are named by them, so that they are the same at every ingress. A step of the wall clock
-    while the process runs changes nothing.
+    Quota windows are named after this time, so that every ingress uses the same names. A step of the wall
+    clock while the process runs has no effect.
+
+    Attributes:
+        base: Unix time in microseconds at the zero of the monotonic clock.
     """
 
     def __init__(self) -> None:
-        self.base = time.time_ns() // 1000 - time.monotonic_ns() // 1000  # us at the monotonic clock's zero
+        self.base = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def adopt(self, base: int) -> None:
-        """Goes on with the clock of another process of this machine.
+        """Continues the clock of another process on this machine.
 
-        Moments of that process are then moments of this one, though the wall clock may have been stepped
-        between their starts. Must be called before anything has been timed.
+        Both processes then agree on the time, even if the wall clock was stepped between their starts. Must
+        be called before the first use of `now`.
 
         Args:
             base: The other clock's `base`, in microseconds.
@@ -27,5 +30,5 @@
         self.base = base
 
     def now(self) -> int:
-        """Returns the moment in microseconds."""
+        """Returns the current Unix time in microseconds."""
         return self.base + time.monotonic_ns() // 1000
--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -1,25 +1,25 @@
-"""Shares out the process's descriptors between clients and backends."""
+"""Divides the process's file descriptors between client and backend connections."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 UNCOUNTED_DESCRIPTORS = 30
-"""Standard streams, the loop's own, the listener; discovery and the counter, twice during a reload."""
-ADMIN_DESCRIPTORS = 12  # kept apart: operators' calls are answered however crowded the rest is
-USABLE_FRACTION = 0.92  # of the rest: a closed descriptor is free only when the loop has come round
-CLIENT_FRACTION = 0.52  # of that: a third of the limit is for requests, the rest may be idle
-CLIENT_OVERFLOW_FRACTION = 0.04  # of the limit: clients above their share, whose requests are rejected
+"""Standard streams, event loop, listening socket; discovery and the counter, twice during a reload."""
+ADMIN_DESCRIPTORS = 12  # reserved, so that operators' calls are answered when all others are in use
+USABLE_FRACTION = 0.92  # of the rest: a closed descriptor is free only after the next loop iteration
+CLIENT_FRACTION = 0.52  # of the usable ones: a third of the limit is for requests, the rest may be idle
+CLIENT_OVERFLOW_FRACTION = 0.04  # of the limit: client connections above their share, to reject requests
 
 
 class DescriptorShare:
-    """The connections to one side: clients cannot crowd out the backends, nor the other way round.
+    """The descriptors of one side, so that neither clients nor backends can use up those of the other.
 
     Attributes:
-        limit: How many may be open.
-        in_use: How many are open, or being opened.
-        evict: Closes one that is of no use now; returns whether there was one.
-        on_freed: Is called when one has been closed.
+        limit: The number of connections that may be open.
+        in_use: The number of connections that are open or being opened.
+        evict: Closes an idle connection; returns whether there was one.
+        on_freed: Is called after a connection was closed.
     """
 
     def __init__(self, limit: int, evict: Callable[[], bool] = lambda: False) -> None:
@@ -29,30 +29,31 @@
         self.on_freed: Callable[[], None] = lambda: None
 
     def has_capacity(self) -> bool:
-        """Returns whether one more may be opened, if need be after another one has been evicted."""
+        """Returns whether one more connection may be opened; evicts an idle one if necessary."""
         return self.in_use < self.limit or self.evict()
 
     def acquire(self) -> None:
-        """Counts one that is opened."""
+        """Counts a connection that is being opened."""
         self.in_use += 1
 
     def release(self) -> None:
-        """Counts one that has been closed."""
+        """Stops counting a connection that was closed, and calls `on_freed`."""
         self.in_use -= 1
         self.on_freed()
 
 
 class DescriptorBudget:
-    """The descriptors of the process, shared out to both sides.
+    """The process's descriptors, divided between clients and backends.
 
     Attributes:
-        clients: The share for clients' requests.
+        clients: The share for connections from clients.
         backends: The share for connections to backends.
-        client_hard_limit: Clients above which no more are accepted, not even to be rejected.
+        client_hard_limit: The number of client connections at which no more are accepted, not even to reject
+            their requests.
     """
 
     def __init__(self, limit: int, admin_descriptors: int = 0) -> None:
-        """Shares out `limit` descriptors, less those held back for operators' calls."""
+        """Divides `limit` descriptors, less those reserved for operators' calls."""
         self._limit = limit
         self._admin_descriptors = admin_descriptors
         self.clients = DescriptorShare(0)
@@ -61,11 +62,11 @@
         self.allocate(limit)
 
     def set_shared(self, shared: bool) -> None:
-        """Halves the budget while another process of the same ingress holds descriptors under this limit."""
+        """Halves the budget while another process of this ingress holds descriptors under the same limit."""
         self.allocate(self._limit // 2 if shared else self._limit)
 
     def allocate(self, limit: int) -> None:
-        """Shares out that many anew, and closes what is over."""
+        """Divides `limit` descriptors again, and evicts idle connections over the new shares."""
         counted = max(2, int((limit - UNCOUNTED_DESCRIPTORS - self._admin_descriptors) * USABLE_FRACTION))
         self.clients.limit = max(1, int(counted * CLIENT_FRACTION))
         self.backends.limit = max(1, counted - self.clients.limit)
--- a/quota_ingress/net/dial.py
+++ b/quota_ingress/net/dial.py
@@ -1,4 +1,4 @@
-"""Opens a connection with a timeout, and leaves nothing behind of one that is given up."""
+"""Opens a connection with a timeout, and cleans up after an attempt that fails."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 async def dial(protocol: asyncio.Protocol, address: tuple[str, int], timeout_s: float) -> None:
     """Connects `protocol` to `address` (host and port) within `timeout_s` seconds.
 
-    A connection may come up in the moment in which its timeout expires or its task is cancelled. The loop
-    closes such a transport without notifying the protocol, though it has called `connection_made`:
-    `connection_lost` is called here, as the protocol may have started timers.
+    A connection may be established just as its timeout expires or its task is cancelled. The event loop has
+    then called `connection_made`, but closes the transport without calling `connection_lost`. It is called
+    here, because the protocol may have started timers.
 
     Raises:
-        OSError: The connection could not be made; TimeoutError is one.
+        OSError: The connection could not be established; TimeoutError, a subclass, if it took too long.
     """
     loop = asyncio.get_running_loop()
     try:
--- a/quota_ingress/net/event_log.py
+++ b/quota_ingress/net/event_log.py
@@ -1,8 +1,8 @@
-"""What the process did and why: counts that are always kept, and an event log that can be switched on.
+"""Counts what the process did and why, and optionally logs each event.
 
-`EDGE_TRACE=1` in the environment writes each event as one line of JSON through the logger
-`quota_ingress.events`: `at` in microseconds of the machine's monotonic clock, `event`, `reason` where there
-is one, and the event's own fields. The counts are logged at the end of the process in any case.
+With `EDGE_TRACE=1` in the environment, each event is written as one line of JSON through the logger
+`quota_ingress.events`: `at` (monotonic clock, us), `event`, `reason` if there is one, and the fields of the
+event. The counts are always kept, and logged at the end of the process.
 """
 
 from __future__ import annotations
@@ -22,26 +22,31 @@
 
 
 class EventLog:
-    """Counts events by kind and reason, and writes them out where that is switched on."""
+    """Counts events by kind and reason, and logs them if enabled.
+
+    Attributes:
+        writes: Whether each event is logged, not only counted.
+        counts: The number of events by kind and reason.
+    """
 
     def __init__(self, writes: bool = False) -> None:
-        """`writes`: each event is written to the log, not only counted."""
+        """Starts with all counts at zero."""
         self.writes = writes
         self.counts: Counter[tuple[str, str]] = Counter()
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str] = os.environ) -> EventLog:
-        """Writes events if the environment says so."""
+        """Returns an event log that logs each event if `EDGE_TRACE` is set, but not to 0."""
         return cls(writes=environment.get(ENVIRONMENT_VARIABLE, "") not in ("", "0"))
 
     def event(self, kind: str, reason: str = "", **fields: object) -> None:
-        """Counts one event; `fields` are written with it. Bytes are written as Latin-1 text."""
+        """Counts one event, and logs it with `fields` if enabled; bytes are logged as Latin-1 text."""
         self.counts[kind, reason] += 1
         if self.writes:
             self._write(kind, reason, fields)
 
     def violation(self, rule: str, **fields: object) -> None:
-        """Counts and always writes that a rule of the service was broken, or that this was just prevented."""
+        """Counts and always logs that a rule of the service was broken, or that this was just prevented."""
         self.counts[VIOLATION_KIND, rule] += 1
         log.warning("rule %s: %s", rule, self._text(fields))
 
@@ -51,7 +56,7 @@
         return sum(count for (kind, _), count in self.counts.items() if kind == VIOLATION_KIND)
 
     def summary(self) -> str:
-        """Returns all counts as one line of JSON, by `kind/reason`, or `kind` where there is no reason."""
+        """Returns all counts as one line of JSON, by `kind/reason`, or `kind` if there is no reason."""
         counts_by_name: dict[str, int] = {}
         for (kind, reason), count in self.counts.items():
             name = f"{kind}/{reason}" if reason else kind
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -215,13 +215,13 @@
             return None
 
     def _listen(self) -> Acceptor:
-        """Listens under a private name, then renames it: the socket accepts before the shared name leads to it."""
+        """Listens under a private name, then renames it: the shared name must lead to a listening socket."""
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self._own_path)
             listening.bind(self._own_path)
-            acceptor = Acceptor(listening, lambda waited_since: UpgradeChannel(self))
+            acceptor = Acceptor(listening, lambda queued_since: UpgradeChannel(self))
             os.rename(self._own_path, self._path)
         except OSError:
             listening.close()
--- a/quota_ingress/settings_codec.py
+++ b/quota_ingress/settings_codec.py
@@ -1,6 +1,6 @@
-"""The settings as the platform writes them, to the terms of `quota_ingress.policy.settings`.
+"""Decodes the platform's JSON settings into `quota_ingress.policy.settings`.
 
-The platform's words for settings appear here and nowhere else. Times are whole microseconds on both sides.
+The platform's keys for settings appear only in this module. Times are whole microseconds on both sides.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 
 
 class SettingsError(ValueError):
-    """The settings cannot be read: says what is missing or wrong."""
+    """The settings are invalid; the message names the missing key or the fault."""
 
 
 def settings_from_json(text: bytes) -> Settings:
-    """Reads the settings from a JSON document; unknown keys are skipped.
+    """Returns the settings from a JSON document; unknown keys are ignored.
 
     Raises:
         SettingsError: A key is missing, or a value is of the wrong type or unknown.
@@ -95,11 +95,11 @@
     )
 
 
-def _idempotency(word: Any) -> Idempotency:
+def _idempotency(semantics: Any) -> Idempotency:
     try:
-        return _IDEMPOTENCY[word]
+        return _IDEMPOTENCY[semantics]
     except (KeyError, TypeError):
-        raise SettingsError(f"services[].semantics: unknown value {word!r}") from None
+        raise SettingsError(f"services[].semantics: unknown value {semantics!r}") from None
 
 
 def _plan(raw: Document) -> Plan:
