--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -17,9 +17,7 @@
 from quota_ingress.net.acceptor import Acceptor, listening_socket
 from quota_ingress.net.http import FramingError, HttpConnection, MemoryBudget, Message, RequestReader
 
-LIST_WAIT_SECONDS = (
-    0.7  # at start, for the endpoint list and the bans, before a call is answered without them
-)
+LIST_WAIT_SECONDS = 0.7  # at start, until a call is answered without the endpoint list and the bans
 CALL_TIMEOUT_SECONDS = 3.0  # for a call to arrive completely
 READY_PATH = "/control/ready"
 OUT_OF_SERVICE_PATH = "/control/out-of-service"
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -180,7 +180,7 @@
 
 
 def _decode_entries(entries: Mapping[str, str]) -> dict[str, PackedEntry]:
-    """Returns the entries as this version packs them; raises ValueError for one that cannot be unpacked."""
+    """Returns the entries as this version packs them; raises one of DECODE_ERRORS for a bad entry."""
     return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
