--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The upgrade's coordinators over a real Unix socket, with pretended processes."""
+"""UpgradeCoordinator over a real Unix socket, between simulated processes."""
 
 from __future__ import annotations
 
@@ -27,86 +27,86 @@
     return UpgradeCoordinator(participant or RecordingParticipant(), str(directory))
 
 
-async def test_a_new_process_is_told_takes_over_and_both_follow_calls(tmp_path: Path) -> None:
+async def test_a_new_process_gets_the_state_takes_over_and_both_apply_forwarded_calls(tmp_path: Path) -> None:
     old, new = RecordingParticipant(), RecordingParticipant()
     serving = coordinator(tmp_path, old)
-    coming = coordinator(tmp_path, new)
+    starting = coordinator(tmp_path, new)
     serving.listen_for_successor()
-    assert await coming.find_predecessor() and (old.handovers, old.descriptor_sharing) == (0, [True])
+    assert await starting.find_predecessor() and (old.handovers, old.descriptor_sharing) == (0, [True])
     assert new.states == [STATE] and new.list_parts_restored == old.list_parts()
-    assert await coming.take_over() == {"accounts": []} and old.handovers == 1
-    coming.send_operator_call(EndpointCall("a", is_offline=True))
+    assert await starting.take_over() == {"accounts": []} and old.handovers == 1
+    starting.send_operator_call(EndpointCall("a", is_offline=True))
     await old.until(lambda: old.operator_calls == [EndpointCall("a", is_offline=True)])
     serving.send_operator_call(DrainCall(is_draining=True))
     await new.until(lambda: new.operator_calls == [DrainCall(is_draining=True)])
-    coming.send_list_change(list_change(7))  # what discovery tells either of them
+    starting.send_list_change(list_change(7))  # each process forwards list changes from its discovery
     await old.until(lambda: [c.endpoints.version for c in old.changes] == [7])
     serving.send_list_change(list_change(8))
     await new.until(lambda: [c.endpoints.version for c in new.changes] == [8])
     assert encode(new.changes[0]) == encode(list_change(8))
     assert encode(old.changes[0]) == encode(list_change(7))
-    coming.listen_for_successor()  # for the next one, under the same name
+    starting.listen_for_successor()  # for the next process, under the same name
     third_process = RecordingParticipant()
     third = coordinator(tmp_path, third_process)
     serving.stop()
     assert await third.find_predecessor() and third_process.states == [STATE] and old.handovers == 1
     third.stop()
-    coming.stop()
+    starting.stop()
 
 
-async def test_a_process_whose_successor_dies_is_told_so(tmp_path: Path) -> None:
+async def test_a_process_is_notified_when_its_successor_dies(tmp_path: Path) -> None:
     old = RecordingParticipant()
     serving = coordinator(tmp_path, old)
-    coming = coordinator(tmp_path)
+    starting = coordinator(tmp_path)
     serving.listen_for_successor()
-    await coming.find_predecessor()
-    await coming.take_over()
-    coming.stop()
+    await starting.find_predecessor()
+    await starting.take_over()
+    starting.stop()
     await old.until(lambda: old.successors_lost == 1)
     assert old.descriptor_sharing == [True, False]
-    again = coordinator(tmp_path)  # and the next one may take over
-    assert await again.find_predecessor() and await again.take_over() is not None and old.handovers == 2
-    again.stop()
+    third = coordinator(tmp_path)  # another process may take over
+    assert await third.find_predecessor() and await third.take_over() is not None and old.handovers == 2
+    third.stop()
     serving.stop()
 
 
-async def test_a_process_that_serves_again_can_be_found_by_the_next(tmp_path: Path) -> None:
-    """The one that took over had offered itself before it died: its name is stale, and was in the way."""
+async def test_a_process_that_serves_again_is_found_by_the_next_one(tmp_path: Path) -> None:
+    """The dead successor had bound the shared name, and its stale socket file must be replaced."""
     old = RecordingParticipant()
     serving = coordinator(tmp_path, old)
-    coming = coordinator(tmp_path)
+    starting = coordinator(tmp_path)
     serving.listen_for_successor()
-    await coming.find_predecessor()
-    await coming.take_over()
-    coming.listen_for_successor()
-    coming.stop()
+    await starting.find_predecessor()
+    await starting.take_over()
+    starting.listen_for_successor()
+    starting.stop()
     await old.until(lambda: old.successors_lost == 1)
     async with asyncio.timeout(5):
-        while (again := coordinator(tmp_path)) and not await again.find_predecessor():
+        while (third := coordinator(tmp_path)) and not await third.find_predecessor():
             await asyncio.sleep(0.01)
-    assert await again.take_over() is not None and old.handovers == 2
-    again.stop()
+    assert await third.take_over() is not None and old.handovers == 2
+    third.stop()
     serving.stop()
 
 
-async def test_an_operators_call_right_behind_the_answer_holds_in_the_new_process(tmp_path: Path) -> None:
-    """Both lines in one read: the call was carried out first, and then undone by the state before it."""
+async def test_an_operators_call_received_with_the_state_is_applied_after_it(tmp_path: Path) -> None:
+    """If a call in the same read as the state is applied before it, restoring the state undoes the call."""
     listing = {"index": 1, "snapshot": True, "endpoints": [{"name": "a", "address": ":1", "status": "up"}]}
     state = {"listing": listing, "out": [], "back": {}, "gone": [], "drained": False}
     lines = {"answer": state}, {"note": {"backend": "a", "out": True}}, {"note": {"drain": True}}
     new = RecordingParticipant()
-    made = overrides_of_own_directory(lambda: 7_000_000)
+    overrides = overrides_of_own_directory(lambda: 7_000_000)
 
     def apply_call(call: OperatorCall) -> None:
         if isinstance(call, EndpointCall):
-            made.apply_operator_call("a", True)
+            overrides.apply_operator_call("a", True)
 
     new.apply_operator_call = apply_call  # type: ignore[method-assign]
     restored: list[ServingState] = []
 
     def restore(state: ServingState) -> None:
         restored.append(state)
-        made.restore(state.overrides, state.endpoints)
+        overrides.restore(state.overrides, state.endpoints)
 
     new.restore_state = restore  # type: ignore[method-assign]
 
@@ -115,20 +115,22 @@
         writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
     server = await asyncio.start_unix_server(answer, tmp_path / SOCKET_NAME)
-    coming = coordinator(tmp_path, new)
-    assert await coming.find_predecessor()
-    (read,) = restored
-    assert read.endpoints and read.endpoints.packed == decode_endpoint_list(listing).packed
-    assert read.overrides == OverridesSnapshot(1, 1, (), {}, ()) and not read.is_draining
-    assert made.offline == {"a"}
-    coming.stop()
+    starting = coordinator(tmp_path, new)
+    assert await starting.find_predecessor()
+    (restored_state,) = restored
+    assert (
+        restored_state.endpoints and restored_state.endpoints.packed == decode_endpoint_list(listing).packed
+    )
+    assert restored_state.overrides == OverridesSnapshot(1, 1, (), {}, ()) and not restored_state.is_draining
+    assert overrides.offline == {"a"}
+    starting.stop()
     server.close()
 
 
 @pytest.mark.parametrize(
     "reply", [b"no json\n", b"[]\n", b'{"version":2,"answer":{}}\n', b'{"version":1,"answer":7}\n', b""]
 )
-async def test_a_channel_that_cannot_be_read_does_not_stop_a_start(tmp_path: Path, reply: bytes) -> None:
+async def test_a_malformed_answer_does_not_prevent_a_start(tmp_path: Path, reply: bytes) -> None:
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         writer.write(reply)
@@ -139,14 +141,14 @@
     server.close()
 
 
-async def test_a_missing_or_stale_name_does_not_stop_a_start(tmp_path: Path) -> None:
+async def test_a_missing_or_stale_socket_file_does_not_prevent_a_start(tmp_path: Path) -> None:
     assert not await coordinator(tmp_path).find_predecessor()
-    with socket.socket(socket.AF_UNIX) as left:
-        left.bind(str(tmp_path / SOCKET_NAME))
-    coming = coordinator(tmp_path)
-    assert not await coming.find_predecessor() and await coming.take_over() is None
-    coming.listen_for_successor()
+    with socket.socket(socket.AF_UNIX) as stale:
+        stale.bind(str(tmp_path / SOCKET_NAME))
+    starting = coordinator(tmp_path)
+    assert not await starting.find_predecessor() and await starting.take_over() is None
+    starting.listen_for_successor()
     assert await coordinator(tmp_path).find_predecessor()
     (tmp_path / "file").write_text("")
-    coordinator(tmp_path / "file").listen_for_successor()  # cannot: the log says so
-    coming.stop()
+    coordinator(tmp_path / "file").listen_for_successor()  # cannot listen there, and logs a warning
+    starting.stop()
--- a/tests/test_upgrade_messages.py
+++ b/tests/test_upgrade_messages.py
@@ -1,4 +1,4 @@
-"""The messages of an upgrade: those that the version before wrote (`tests/data/upgrade`), and bad ones."""
+"""Messages of an upgrade: those of the previous version (`tests/data/upgrade`), and invalid ones."""
 
 from __future__ import annotations
 
@@ -41,30 +41,30 @@
 
 
 def messages(name: str) -> list[Message]:
-    read = [decode(line) for line in lines(name)]
-    assert None not in read
-    return [message for message in read if message is not None]
+    decoded = [decode(line) for line in lines(name)]
+    assert None not in decoded
+    return [message for message in decoded if message is not None]
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_what_the_version_before_wrote_is_read_and_written_again_byte_for_byte(name: str) -> None:
+def test_messages_of_the_previous_version_are_decoded_and_encoded_byte_for_byte(name: str) -> None:
     assert len(FILES) == 5
     assert [encode(message) for message in messages(name)] == lines(name)
 
 
-def test_the_questions_of_the_version_before() -> None:
+def test_the_questions_of_the_previous_version() -> None:
     assert messages("questions.jsonl") == [Ask(Question.HELLO), Ask(Question.TAKE)]
 
 
-def test_the_operators_state_of_the_version_before_is_restored_and_written_again() -> None:
-    """Bans, one put back online, a removed name; the list in its part."""
+def test_the_operators_state_of_the_previous_version_is_restored_and_encoded_again() -> None:
+    """The state has two bans, one endpoint put back online and a removed name; a ListPart has the list."""
     part, answer = messages("hello.jsonl")
     assert isinstance(part, ListPart) and isinstance(answer, Answer)
     state = decode_state(answer.content)
     assert state.overrides.offline == ("s é", "s-0") and state.overrides.removed_names == ("s-3",)
     assert list(state.overrides.restarted_at) == ["s-1"] and state.overrides.list_version == 5
     assert not state.is_draining and state.clock_base_us == answer.content["clock"]
-    assert json.dumps(encode_state(state)) == json.dumps(answer.content)  # the order of keys, too
+    assert json.dumps(encode_state(state)) == json.dumps(answer.content)  # with the keys in the same order
 
     overrides = overrides_of_own_directory(lambda: 0)
     overrides.restore_entries(part.entries)
@@ -79,10 +79,10 @@
     assert overrides.entries["s-1"].started_us == restarted == overrides.restarted_at("s-1")
     assert overrides.snapshot() == state.overrides
     (batch,) = overrides.entry_batches()
-    assert encode(ListPart(batch)) == lines("hello.jsonl")[0]  # as discovery told them, without the overrides
+    assert encode(ListPart(batch)) == lines("hello.jsonl")[0]  # as discovery sent it, without the overrides
 
 
-def test_the_operators_calls_of_the_version_before() -> None:
+def test_the_operators_calls_of_the_previous_version() -> None:
     assert messages("notes.jsonl") == [
         EndpointCall("s-2", is_offline=True),
         EndpointCall("s-2", is_offline=False),
@@ -91,20 +91,28 @@
     ]
 
 
-def test_the_list_changes_of_the_version_before() -> None:
-    delta, whole = messages("listed.jsonl")
-    assert isinstance(delta, EndpointListChange) and isinstance(whole, EndpointListChange)
-    assert (delta.after, delta.endpoints.version, delta.endpoints.is_snapshot) == (5, 6, False)
+def test_the_list_changes_of_the_previous_version() -> None:
+    delta, snapshot = messages("listed.jsonl")
+    assert isinstance(delta, EndpointListChange) and isinstance(snapshot, EndpointListChange)
+    assert (delta.after, delta.endpoints.version, delta.endpoints.is_snapshot) == (
+        5,
+        6,
+        False,
+    )
     assert {entry.name: STATUS_BY_STATE[entry.state] for entry in delta.endpoints.entries} == {
         "s-2": "draining",
         "s-0": "removed",
     }
-    assert (whole.after, whole.endpoints.version, whole.endpoints.is_snapshot) == (6, 7, True)
-    assert list(whole.endpoints.packed) == ["s-0", "s-1"]
-    assert delta.discovery[0] == HOST and delta.discovery == whole.discovery
+    assert (
+        snapshot.after,
+        snapshot.endpoints.version,
+        snapshot.endpoints.is_snapshot,
+    ) == (6, 7, True)
+    assert list(snapshot.endpoints.packed) == ["s-0", "s-1"]
+    assert delta.discovery[0] == HOST and delta.discovery == snapshot.discovery
 
 
-def test_what_the_policy_of_the_version_before_leased_and_learned_is_read_and_written_again() -> None:
+def test_the_policy_snapshot_of_the_previous_version_is_decoded_and_encoded_again() -> None:
     (answer,) = messages("take.jsonl")
     assert isinstance(answer, Answer)
     numbers = {endpoint["id"]: number for number, endpoint in enumerate(answer.content["backends"])}
@@ -117,7 +125,7 @@
     assert json.dumps(snapshot_codec.encode(snapshot, names)) == json.dumps(answer.content)
 
 
-def test_a_kind_that_is_not_known_is_passed_over() -> None:
+def test_a_message_of_unknown_kind_is_ignored() -> None:
     assert decode(b'{"version": 1, "weather": "fair"}\n') is None
 
 
@@ -137,7 +145,7 @@
         {"version": 1, "note": 7},
     ],
 )
-def test_a_message_that_cannot_be_read_is_an_error(document: Any) -> None:
+def test_an_invalid_message_raises_an_error(document: Any) -> None:
     with pytest.raises(MessageError):
         decode(json.dumps(document).encode())
 
@@ -153,13 +161,13 @@
         {"discovery": [HOST], "index": 2, "after": 1, "whole": False, "packed": {}},
     ],
 )
-def test_a_list_change_that_cannot_be_read_is_an_error_of_its_own(change: Any) -> None:
-    """The channel stays open: the change is lost, and what follows it is not."""
+def test_an_invalid_list_change_raises_its_own_error(change: Any) -> None:
+    """The channel stays open: only the change is lost, and later messages are still handled."""
     with pytest.raises(EndpointListChangeError):
         decode(json.dumps({"version": 1, "listed": change}).encode())
 
 
-def test_a_state_without_a_clock_or_with_a_whole_list_is_one_of_an_earlier_version() -> None:
+def test_a_state_without_a_clock_or_with_a_whole_list_is_accepted_from_an_older_version() -> None:
     listing = {"index": 3, "snapshot": True, "endpoints": [{"name": "a", "address": ":1", "status": "up"}]}
     state = decode_state({"listing": listing, "out": ["a"], "back": {}, "gone": [], "drained": True})
     assert state.endpoints and [entry.name for entry in state.endpoints.entries] == ["a"]
@@ -168,7 +176,7 @@
 
 
 @pytest.mark.parametrize("missing", ["listed", "out", "back", "gone", "drained"])
-def test_a_state_that_lacks_a_part_is_an_error(missing: str) -> None:
+def test_a_state_that_lacks_a_key_raises_an_error(missing: str) -> None:
     (_, answer) = messages("hello.jsonl")
     assert isinstance(answer, Answer)
     del answer.content[missing]
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -1,4 +1,4 @@
-"""Upgrades of whole processes: one listener, nothing lost, and every failure on the way."""
+"""Upgrades between real processes that share one listening socket, and failures during an upgrade."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 
-REQUEST_TIME_US = 20_000_000  # a request waits while another process starts, however slow the machine is
+REQUEST_TIME_US = 20_000_000  # so that a request outlasts the start of another process on a slow machine
 LONG_DEADLINE_SETTINGS = RAW | {
     "services": [
         service | {"on_time": REQUEST_TIME_US, "deadline": REQUEST_TIME_US} for service in RAW["services"]
@@ -46,40 +46,42 @@
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.BIND, Call.LISTEN, Call.RENAME])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO, errno.ENFILE], ids=errno.errorcode.get)
-async def test_a_folder_that_fails_for_a_while_puts_an_upgrade_off_and_ends_no_start(
+async def test_system_calls_that_fail_in_the_shared_directory_only_delay_an_upgrade(
     tmp_path: Path, call: Call, error: int
 ) -> None:
-    """A real process whose system calls fail as it offers itself: it serves, and is found later on."""
+    """System calls fail as a real process starts to listen for a successor: it serves, and is found later."""
     faults = Faults(build(tmp_path), tmp_path / "faults")
-    path, folder = tmp_path / "config.json", tmp_path / "shared"
-    folder.mkdir()
+    path, directory = tmp_path / "config.json", tmp_path / "shared"
+    directory.mkdir()
     path.write_text(json.dumps(config_document()))
-    with SharedListener(folder) as shared:
+    with SharedListener(directory) as shared:
         faults.set(call, error, 1 if call is Call.RENAME else 2)
         serving = await shared.serve(path, **faults.environment())
         faults.clear()
-        coming = UpgradeCoordinator(RecordingParticipant(), str(folder))
+        successor = UpgradeCoordinator(RecordingParticipant(), str(directory))
         async with asyncio.timeout(10):
-            while not await coming.find_predecessor():
+            while not await successor.find_predecessor():
                 await asyncio.sleep(0.05)
-        coming.stop()
+        successor.stop()
         await stop_orderly(serving, timeout_seconds=30)
     faults.close()
 
 
 @pytest.mark.parametrize("step", [3, 3600, -3600])
-async def test_a_wall_clock_stepped_before_an_upgrade_changes_no_window(tmp_path: Path, step: int) -> None:
-    """The new process goes on with the old one's clock: both count a customer's units under one name."""
+async def test_a_step_of_the_wall_clock_before_an_upgrade_changes_no_quota_window(
+    tmp_path: Path, step: int
+) -> None:
+    """The new process continues the old one's clock: both count a customer's units under the same name."""
     added: list[tuple[int, float]] = []
 
-    def count(peer: Peer) -> None:
+    def answer_and_record(peer: Peer) -> None:
         *lines, peer.data = peer.data.split(b"\r\n")
         for line in lines:
             if line.startswith(b"add "):
                 added.append((int(line.split()[1], 16), time.time()))
             peer.transport.write(b"ok 1\r\n" if line.startswith(b"add ") else b"pong\r\n")
 
-    server, counter = await PeerServer(answers(OK)).start(), await PeerServer(count).start()
+    server, counter = await PeerServer(answers(OK)).start(), await PeerServer(answer_and_record).start()
     faults = Faults(build(tmp_path), tmp_path / "faults")
     path = tmp_path / "config.json"
     listed = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
@@ -103,19 +105,19 @@
     counter.stop()
 
 
-async def test_what_the_old_process_is_told_after_it_has_told_its_list_holds_in_the_new_one(
+async def test_a_delta_that_the_old_process_receives_after_sending_its_list_reaches_the_new_one(
     tmp_path: Path,
 ) -> None:
-    """Discovery leaves the new process's watch unanswered, and goes on telling the old one."""
+    """Discovery leaves the new process's watch unanswered, and sends deltas to the old process only."""
     servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
     watches: list[Peer] = []
 
-    def agent_heard(peer: Peer) -> None:
+    def answer_first_watch(peer: Peer) -> None:
         if b"\r\n\r\n" in peer.data and not watches:
             watches.append(peer)
             peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 
-    agent = await PeerServer(agent_heard).start()
+    agent = await PeerServer(answer_first_watch).start()
     entries = [
         {"name": f"s-{n}", "address": f"{HOST}:{server.port}", "status": "up"}
         for n, server in enumerate(servers)
@@ -124,35 +126,36 @@
     path.write_text(json.dumps(config_document(known=known, discovery=f"{HOST}:{agent.port}")))
     with SharedListener(tmp_path) as shared:
         old = await shared.serve(path)
-        _, kept = await asyncio.open_connection(HOST, shared.port)  # the old process stays until it is closed
+        # The old process runs until this connection is closed.
+        _, idle_writer = await asyncio.open_connection(HOST, shared.port)
         new = await shared.serve(path)
-        drains = {"index": 5, "snapshot": False, "endpoints": [entries[0] | {"status": "draining"}]}
-        line = json.dumps(drains).encode() + b"\n"
+        delta = {"index": 5, "snapshot": False, "endpoints": [entries[0] | {"status": "draining"}]}
+        line = json.dumps(delta).encode() + b"\n"
         watches[0].transport.write(b"%x\r\n%b\r\n" % (len(line), line))
-        await asyncio.sleep(0.3)  # past the grace
+        await asyncio.sleep(0.3)  # longer than drain_grace
         for number in range(20):
             assert b" 200 " in await fetch(
                 shared.port, request(f"r{number}", Cookie=f"customer={number:016x}")
             )
-        kept.close()
+        idle_writer.close()
         await kill(new, old)
     assert not servers[0].peers and servers[1].peers
     for server in (*servers, agent):
         server.stop()
 
 
-@pytest.mark.parametrize("slow", [0.0, 0.5])
-async def test_operators_are_answered_rightly_by_a_process_that_has_not_heard_of_its_list_yet(
-    tmp_path: Path, slow: float
+@pytest.mark.parametrize("delay_s", [0.0, 0.5])
+async def test_operators_calls_at_a_start_wait_for_the_predecessors_list_and_bans(
+    tmp_path: Path, delay_s: float
 ) -> None:
-    """The other process takes its time to tell the list and the bans: a listed backend was unknown, and a
-    call that came before them would have been undone by them."""
+    """Without the wait, a call before the predecessor's slow state finds a listed backend unknown, and the
+    state undoes the call."""
     state = {"listed": {"index": 1, "count": 1}, "out": [], "back": {}, "gone": [], "drained": False}
     listed = {"name": "a", "address": f"{HOST}:1", "status": "up"}
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while await reader.readline():
-            await asyncio.sleep(slow)
+            await asyncio.sleep(delay_s)
             lines = {"part": {"a": pack_entry(decode_endpoint(listed))}}, {"answer": state}
             writer.write(b"".join(json.dumps({"version": 1} | line).encode() + b"\n" for line in lines))
 
@@ -161,14 +164,14 @@
     path.write_text(json.dumps(config_document(admin=f"{HOST}:{admin}")))
     with SharedListener(tmp_path) as shared:
         starting = shared.start(path)
-        called = time.monotonic()
-        while True:  # as soon as it takes calls
+        started_at = time.monotonic()
+        while True:  # until the process accepts calls
             try:
-                taken = await operators_call(admin, "POST /control/backends/a/offline")
+                status = await operators_call(admin, "POST /control/backends/a/offline")
                 break
             except OSError:
                 await asyncio.sleep(0.005)
-        assert time.monotonic() - called < slow + 1.5 and taken == 200
+        assert time.monotonic() - started_at < delay_s + 1.5 and status == 200
         assert await operators_call(admin, "POST /control/backends/b/offline") == 404
         assert await operators_call(admin, "POST /control/backends/a/online") == 200
         await kill(starting)
@@ -183,10 +186,10 @@
     return status
 
 
-async def test_a_process_that_has_handed_over_stays_until_its_successor_has_stood_for_a_while(
+async def test_a_process_stays_for_a_while_after_the_handover_to_serve_if_its_successor_dies(
     tmp_path: Path,
 ) -> None:
-    """With nothing left to answer it ended at once; a successor that died then left nobody to serve."""
+    """If the old process ended immediately, no process would serve after an early death of the successor."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document()))
     with SharedListener(tmp_path) as shared:
@@ -194,12 +197,12 @@
         new = await shared.serve(path)
         await asyncio.sleep(0.2)
         await kill(new)
-        assert (await fetch(shared.port, UP)).startswith(b"HTTP/1.1 200 ")  # by the old one
+        assert (await fetch(shared.port, UP)).startswith(b"HTTP/1.1 200 ")  # the old process answers
         await kill(old)
 
 
-async def test_two_real_processes_one_listener_nothing_lost(tmp_path: Path) -> None:
-    """What the old one took is answered, the rest is the new one's, a ban holds, the old one leaves."""
+async def test_an_upgrade_between_real_processes_loses_no_request(tmp_path: Path) -> None:
+    """The old process answers the request that it accepted and ends; the new one serves the others."""
     server = await PeerServer().start()
     endpoints = [
         {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"},
@@ -219,44 +222,44 @@
     new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
     assert await operators_call(new_admin, "GET /control/ready") == 200
     server.heard = answers(OK)
-    for number in range(4):  # s-2 would refuse them, were it not banned; the old process accepts none
+    for number in range(4):  # s-2, were it not banned, would refuse them; the old process accepts none
         answer = await fetch(shared.port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
     server.heard(server.peers[0])
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
     writer.close()
-    _, errors = await asyncio.to_thread(old.communicate, timeout=60)  # it has nothing left
+    _, errors = await asyncio.to_thread(old.communicate, timeout=60)  # ends with no request left
     assert old.returncode == 0 and "Traceback" not in errors
     assert await operators_call(new_admin, "POST /control/backends/s-2/online") == 200
     assert (await fetch(shared.port, UP)).startswith(b"HTTP/1.1 200 ")
     await stop_orderly(new)
     os.fstat(shared.socket.fileno())
-    with socket.create_connection((HOST, shared.port)):  # still listens: it is the platform's
+    with socket.create_connection((HOST, shared.port)):  # still listening: the platform holds the socket
         pass
     shared.socket.close()
     server.stop()
 
 
-async def test_the_new_process_goes_on_with_the_leases_and_half_of_the_descriptors(tmp_path: Path) -> None:
-    """The same in one process, to look inside."""
+async def test_the_new_process_restores_the_leases_and_uses_half_of_the_descriptors(tmp_path: Path) -> None:
+    """Both ingresses run in this process, so that their state can be inspected."""
     shared = SharedListener(tmp_path)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document(counter=None)))
     old = Ingress(load_config(str(path), shared.environment))
     new = Ingress(load_config(str(path), shared.environment))
-    top = old.listener.hard_limit
+    full_limit = old.listener.hard_limit
     await old.start()
     old.engine.post(RequestArrived(1, 0, 0, 7, 1.0, 3_000_000))
     await new.start()
-    assert old.listener.hard_limit < top and new.listener.hard_limit < top
+    assert old.listener.hard_limit < full_limit and new.listener.hard_limit < full_limit
     assert 7 in new.engine._policy.admission.customers  # type: ignore[attr-defined]
     assert not old.ready() and old.listener.handed_over and not new.listener.handed_over
     async with asyncio.timeout(10):
-        await old.stopping.wait()  # it has nothing left
+        await old.stopping.wait()  # no request is left
     await old.stop()
     async with asyncio.timeout(10):
-        while new.listener.hard_limit < top:
+        while new.listener.hard_limit < full_limit:
             await asyncio.sleep(0)
     await new.stop()
     shared.socket.close()
