--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -18,7 +18,7 @@
 
 
 class RecordingControls:
-    """Controls that only record what they are asked for; one endpoint is listed."""
+    """Records operators' calls; one endpoint, "s 1", is listed."""
 
     def __init__(self) -> None:
         self.is_ready = False
@@ -41,7 +41,7 @@
 
 
 class Operators:
-    """An admin server, and operators that call it."""
+    """An AdminServer, and operators that call it."""
 
     def __init__(self) -> None:
         self.controls = RecordingControls()
@@ -66,7 +66,7 @@
     operators.admin.stop()
 
 
-async def test_each_route_does_what_it_says_and_nothing_else_is_one(operators: Operators) -> None:
+async def test_each_route_carries_out_its_call_and_other_paths_get_404(operators: Operators) -> None:
     controls = operators.controls
     assert await operators.call("GET /control/ready") == 503
     controls.is_ready = True
@@ -91,37 +91,37 @@
 @example("s%20%C3%A9%")
 @example("%C3")
 @example("%zz%4")
-def test_names_are_decoded_as_by_the_standard_library(text: str) -> None:
+def test_names_are_decoded_as_by_urllib(text: str) -> None:
     assert decode_percent(text) == unquote(text)
 
 
-async def test_silent_connections_shut_nobody_out(operators: Operators) -> None:
-    held = [await asyncio.open_connection(HOST, operators.port) for _ in range(20)]
-    for _, writer in held:
+async def test_incomplete_calls_do_not_block_further_connections(operators: Operators) -> None:
+    incomplete_calls = [await asyncio.open_connection(HOST, operators.port) for _ in range(20)]
+    for _, writer in incomplete_calls:
         writer.write(b"GET /control/re")
     operators.controls.is_ready = True
     assert await operators.call("GET /control/ready") == 200
     assert len(operators.admin.connections) <= 3
-    for _, writer in held:
+    for _, writer in incomplete_calls:
         writer.close()
 
 
-async def test_bytes_that_are_no_http_get_an_error(operators: Operators) -> None:
+async def test_bytes_that_are_not_http_get_400(operators: Operators) -> None:
     reader, writer = await asyncio.open_connection(HOST, operators.port)
     writer.write(b"nonsense\r\n\r\n")
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
     writer.close()
 
 
-async def test_a_call_in_a_transfer_coding_that_is_not_supported_is_answered(operators: Operators) -> None:
-    """It ended with a traceback in the log and no answer."""
+async def test_a_call_with_an_unsupported_transfer_coding_gets_501(operators: Operators) -> None:
+    """If `Status` lacks the code of the framing error, the log gets a traceback and the call no answer."""
     reader, writer = await asyncio.open_connection(HOST, operators.port)
     writer.write(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n")
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 501 Not Implemented\r\n")
     writer.close()
 
 
-def test_each_status_has_its_reason() -> None:
+def test_each_status_has_its_reason_phrase() -> None:
     assert {status.value: status.reason for status in Status} == {
         200: "OK",
         400: "Bad Request",
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -5,11 +5,11 @@
 from quota_ingress.net.backoff import Backoff
 
 
-def test_waits_double_up_to_a_bound_spread_by_chance_and_begin_anew() -> None:
-    chance = [0.0]
-    tries = Backoff(0.1, 0.5, lambda: chance[0])
-    assert [round(tries.next_wait(), 3) for _ in range(4)] == [0.05, 0.1, 0.2, 0.25]
-    chance[0] = 1.0
-    assert round(tries.next_wait(), 3) == 0.75
-    tries.on_success()
-    assert round(tries.next_wait(), 3) == 0.15
+def test_waits_double_up_to_a_limit_have_jitter_and_are_reset_on_success() -> None:
+    fraction = [0.0]
+    backoff = Backoff(0.1, 0.5, lambda: fraction[0])
+    assert [round(backoff.next_wait(), 3) for _ in range(4)] == [0.05, 0.1, 0.2, 0.25]
+    fraction[0] = 1.0
+    assert round(backoff.next_wait(), 3) == 0.75
+    backoff.on_success()
+    assert round(backoff.next_wait(), 3) == 0.15
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file."""
+"""Loading and reloading the configuration file."""
 
 from __future__ import annotations
 
@@ -35,29 +35,31 @@
         json.dumps(config_document(settings={})),
     ],
 )
-def test_bad_configuration_is_one_line(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_ends_the_start_with_one_line(tmp_path: Path, text: str) -> None:
     (tmp_path / "config.json").write_text(text)
-    ran = start_ingress(tmp_path / "config.json")
-    _, errors = ran.communicate(timeout=60)
-    assert ran.returncode == 1 and errors.count("\n") == 1 and errors.startswith("quota_ingress: ")
+    process = start_ingress(tmp_path / "config.json")
+    _, errors = process.communicate(timeout=60)
+    assert process.returncode == 1 and errors.count("\n") == 1 and errors.startswith("quota_ingress: ")
 
 
 @pytest.mark.parametrize("known", [{"index": 1}, [], "?", {"index": 1e999, "snapshot": 1, "endpoints": []}])
-async def test_a_known_list_that_cannot_be_read_stops_no_start(tmp_path: Path, known: Any) -> None:
-    """The whole list is asked for in its place, and requests are served by it."""
+async def test_an_invalid_known_list_does_not_prevent_a_start(tmp_path: Path, known: Any) -> None:
+    """The process asks discovery for the whole list instead, and serves requests with it."""
     backend = await PeerServer(answers(OK)).start()
-    here = {"name": "s-1", "address": f"{HOST}:{backend.port}", "status": "up"}
+    listed_backend = {"name": "s-1", "address": f"{HOST}:{backend.port}", "status": "up"}
     agent, counter = (
-        await PeerServer(answer_as_discovery(5, here)).start(),
+        await PeerServer(answer_as_discovery(5, listed_backend)).start(),
         await PeerServer(answer_as_counter).start(),
     )
-    made = config_document(known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}")
-    (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start_ingress(tmp_path / "config.json")
-    port = await asyncio.to_thread(listening_port, ran)
+    document = config_document(
+        known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}"
+    )
+    (tmp_path / "config.json").write_text(json.dumps(document))
+    process = start_ingress(tmp_path / "config.json")
+    port = await asyncio.to_thread(listening_port, process)
     await agent.until(lambda: agent.watched == [b"GET /discovery/hosts?watch=1&from=5"])
     assert (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 ")
-    await stop_orderly(ran)
+    await stop_orderly(process)
     for server in (backend, agent, counter):
         server.stop()
 
@@ -75,7 +77,7 @@
         ({"settings": RAW | {"ceilings": None}}, "settings: "),
     ],
 )
-def test_an_error_names_the_key(tmp_path: Path, changes: dict[str, Any], message: str) -> None:
+def test_an_error_message_names_the_key(tmp_path: Path, changes: dict[str, Any], message: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document(**changes)))
     with pytest.raises(ConfigError, match=f"^{re.escape(message)}"):
@@ -92,7 +94,7 @@
         load_config(str(path), {})
 
 
-def test_a_file_that_cannot_be_read_is_told_from_one_that_makes_no_sense(tmp_path: Path) -> None:
+def test_an_unreadable_file_and_an_invalid_one_raise_different_errors(tmp_path: Path) -> None:
     with pytest.raises(ConfigUnreadableError, match="No such file"):
         reload_config(str(tmp_path / "config.json"))
     (tmp_path / "config.json").write_text("[]")
@@ -101,7 +103,7 @@
     assert not isinstance(raised.value, ConfigUnreadableError)
 
 
-def test_the_environment_goes_before_the_file_at_a_start_and_not_at_a_reload(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file_at_a_start_but_not_at_a_reload(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document(admin=f"{HOST}:2", counter=None)))
     environment = {
@@ -131,7 +133,7 @@
     )
 
 
-def test_what_the_file_leaves_out_has_a_default(tmp_path: Path) -> None:
+def test_optional_keys_have_defaults(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     document = config_document()
     del document["limits"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,7 @@
-"""The descriptors' budget, and the program with few of them.
+"""DescriptorBudget, and a real process with a low limit on descriptors.
 
-Idle clients take all they can get while discovery is away, and each side that is needed keeps its own.
+Idle clients open as many connections as they can while discovery is unreachable; backends, the counter,
+discovery and operators must still get descriptors.
 """
 
 from __future__ import annotations
@@ -22,40 +23,40 @@
 from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, request
 from tests.process_helpers import ROOT, answer_as_counter, config_document, fetch, listening_port
 
-LIMIT = 256  # descriptors, the least that the terms allow
+LIMIT = 256  # descriptors, the lowest limit that the platform may set
 CROWD = 2 * LIMIT
-BEAT = 0.5  # s
+HEARTBEAT_S = 0.5
 
 
 class Agent(PeerServer):
-    """Tells `index` and `status` of the backends to each watch that asks, and beats; or is silent."""
+    """A discovery agent: sends `endpoint_list` to each watch, and heartbeats; or is silent."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        super().__init__(self._asked)
-        self.told, self.silent = told, False
+    def __init__(self, endpoint_list: dict[str, Any]) -> None:
+        super().__init__(self._on_data)
+        self.endpoint_list, self.silent = endpoint_list, False
 
-    def _asked(self, peer: Peer) -> None:
+    def _on_data(self, peer: Peer) -> None:
         while b"\r\n\r\n" in peer.data:
             call, _, peer.data = peer.data.partition(b"\r\n\r\n")
             self.watched.append(call)
             if not self.silent:
                 peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                self.tell(peer)
+                self.send_list(peer)
 
-    def tell(self, peer: Peer) -> None:
-        line = json.dumps(self.told).encode() + b"\n"
+    def send_list(self, peer: Peer) -> None:
+        line = json.dumps(self.endpoint_list).encode() + b"\n"
         peer.transport.write(b"%x\r\n%b\r\n" % (len(line), line))
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(HEARTBEAT_S)
             for peer in self.peers:
                 if not self.silent and not peer.transport.is_closing():
                     peer.transport.write(b"1\r\n\n\r\n")
 
 
-async def idle(port: int) -> None:
-    """A client that says nothing, and comes again when it is sent away."""
+async def run_idle_client(port: int) -> None:
+    """Runs a client that sends nothing, and reconnects when its connection is closed."""
     while True:
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -68,44 +69,44 @@
         await asyncio.sleep(0.05)
 
 
-async def served(port: int, ids: str, within: float) -> float:
-    """Seconds until a new client is served, refused and shut out ones trying again."""
-    began = time.monotonic()
+async def time_until_served(port: int, id_prefix: str, timeout_s: float) -> float:
+    """Returns the seconds until a new client is served; it retries rejected and failed requests."""
+    started_at = time.monotonic()
     for n in range(10_000):
-        left = began + within - time.monotonic()
+        remaining_s = started_at + timeout_s - time.monotonic()
         try:
-            async with asyncio.timeout(max(0.0, left)):
-                if (await fetch(port, request(f"{ids}{n}"))).startswith(b"HTTP/1.1 200 "):
-                    return time.monotonic() - began
+            async with asyncio.timeout(max(0.0, remaining_s)):
+                if (await fetch(port, request(f"{id_prefix}{n}"))).startswith(b"HTTP/1.1 200 "):
+                    return time.monotonic() - started_at
         except (OSError, EOFError, TimeoutError):
-            if left <= 0:
+            if remaining_s <= 0:
                 break
-    raise AssertionError(f"no client served within {within} s")
+    raise AssertionError(f"no client served within {timeout_s} s")
 
 
-@pytest.mark.parametrize("away", ["silent", "refusing"])
-async def test_idle_clients_that_fill_the_descriptors_leave_each_side_its_own(
-    tmp_path: Path, away: str
+@pytest.mark.parametrize("discovery_fault", ["silent", "refusing"])
+async def test_idle_clients_cannot_use_up_the_descriptors_of_the_other_sides(
+    tmp_path: Path, discovery_fault: str
 ) -> None:
     first, second = [await PeerServer(answers(OK)).start() for _ in range(2)]
-    names = {"a": first, "b": second}
+    servers_by_name = {"a": first, "b": second}
 
-    def told(index: int, **status: str) -> dict[str, Any]:
-        ports = {name: server.port for name, server in names.items()}
+    def list_document(index: int, **status: str) -> dict[str, Any]:
+        ports = {name: server.port for name, server in servers_by_name.items()}
         endpoints = [{"name": n, "address": f"{HOST}:{ports[n]}", "status": s} for n, s in status.items()]
         return {"index": index, "snapshot": True, "endpoints": endpoints}
 
-    agent, counter = Agent(told(2, a="up")), await PeerServer(answer_as_counter).start()
+    agent, counter = Agent(list_document(2, a="up")), await PeerServer(answer_as_counter).start()
     await agent.start()
-    made = config_document(
+    document = config_document(
         discovery=f"{HOST}:{agent.port}",
         counter=f"{HOST}:{counter.port}",
         admin=f"{HOST}:0",
         limits={"sockets": LIMIT},
-        known=told(1, a="up"),
+        known=list_document(1, a="up"),
     )
-    (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = subprocess.Popen(
+    (tmp_path / "config.json").write_text(json.dumps(document))
+    process = subprocess.Popen(
         [sys.executable, "-m", "quota_ingress"],
         cwd=ROOT,
         stderr=subprocess.PIPE,
@@ -113,51 +114,53 @@
         env=os.environ | {"EDGE_CONFIG": str(tmp_path / "config.json")},
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LIMIT, LIMIT)),
     )
-    assert ran.stderr
-    admin = int((await asyncio.to_thread(ran.stderr.readline)).rpartition(":")[2])
-    port = await asyncio.to_thread(listening_port, ran)
-    tasks = [asyncio.create_task(agent.beat())]
+    assert process.stderr
+    admin = int((await asyncio.to_thread(process.stderr.readline)).rpartition(":")[2])
+    port = await asyncio.to_thread(listening_port, process)
+    tasks = [asyncio.create_task(agent.send_heartbeats())]
     try:
-        await served(port, "before", 10)
+        await time_until_served(port, "before", 10)
         agent.silent = True
-        if away == "refusing":
+        if discovery_fault == "refusing":
             agent._server.close()
             for peer in agent.peers:
                 peer.transport.abort()
-        ran.send_signal(signal.SIGSTOP)  # so that they all come in one turn of its loop
-        tasks += [asyncio.create_task(idle(port)) for _ in range(CROWD)]
+        process.send_signal(signal.SIGSTOP)  # so that all clients arrive in one iteration of its event loop
+        tasks += [asyncio.create_task(run_idle_client(port)) for _ in range(CROWD)]
         await asyncio.sleep(0.5)
-        ran.send_signal(signal.SIGCONT)
-        await asyncio.sleep(4)  # past the silence of the watch, and the first that were sent away are back
+        process.send_signal(signal.SIGCONT)
+        await asyncio.sleep(
+            4
+        )  # past the watch's heartbeat timeout, and until closed clients have reconnected
         for peer in counter.peers:
             peer.transport.abort()
-        held, most = len(counter.peers), len(os.listdir(f"/proc/{ran.pid}/fd"))
-        await counter.until(lambda: len(counter.peers) > held)
+        counter_connections, open_descriptors = len(counter.peers), len(os.listdir(f"/proc/{process.pid}/fd"))
+        await counter.until(lambda: len(counter.peers) > counter_connections)
         ready = f"GET /control/ready HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode()
         assert (await fetch(admin, ready)).startswith(b"HTTP/1.1 200 ")
-        agent.told, agent.silent = told(3, a="draining", b="up"), False
-        if away == "refusing":
+        agent.endpoint_list, agent.silent = list_document(3, a="draining", b="up"), False
+        if discovery_fault == "refusing":
             loop = asyncio.get_running_loop()
             agent._server = await loop.create_server(lambda: Peer(agent), HOST, agent.port)
-        took = await served(port, "after", 6.0) if not second.peers else 0.0
-        while not second.peers:  # the backend that was told at discovery's return is dialled
-            took += await served(port, f"again{took}"[:12], 6.0 - took)
-        assert took < 6.0
+        elapsed_s = await time_until_served(port, "after", 6.0) if not second.peers else 0.0
+        while not second.peers:  # until the backend in discovery's new list is connected to
+            elapsed_s += await time_until_served(port, f"again{elapsed_s}"[:12], 6.0 - elapsed_s)
+        assert elapsed_s < 6.0
         assert (await fetch(admin, ready)).startswith(b"HTTP/1.1 200 ")
-        assert most < LIMIT
+        assert open_descriptors < LIMIT
     finally:
         for task in tasks:
             task.cancel()
-        ran.send_signal(signal.SIGTERM)
-        _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
+        process.send_signal(signal.SIGTERM)
+        _, errors = await asyncio.to_thread(process.communicate, timeout=60)
         for server in (first, second, agent, counter):
             server.stop()
-    assert ran.returncode == 0 and "Traceback" not in errors and "Too many open files" not in errors
+    assert process.returncode == 0 and "Traceback" not in errors and "Too many open files" not in errors
 
 
-def test_two_processes_hold_no_more_descriptors_than_one() -> None:
-    alone, one = DescriptorBudget(384, 12), DescriptorBudget(384, 12)
-    one.set_shared(True)
-    assert 2 * (one.clients.limit + one.backends.limit) < alone.clients.limit + alone.backends.limit
-    one.set_shared(False)
-    assert (one.clients.limit, one.backends.limit) == (alone.clients.limit, alone.backends.limit)
+def test_two_processes_together_use_at_most_the_descriptors_of_one() -> None:
+    alone, shared = DescriptorBudget(384, 12), DescriptorBudget(384, 12)
+    shared.set_shared(True)
+    assert 2 * (shared.clients.limit + shared.backends.limit) < alone.clients.limit + alone.backends.limit
+    shared.set_shared(False)
+    assert (shared.clients.limit, shared.backends.limit) == (alone.clients.limit, alone.backends.limit)
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""How soon the program as it is started takes clients in: its processor time, and what it waits for."""
+"""How soon a started ingress accepts clients: its CPU time, and its waits."""
 
 from __future__ import annotations
 
@@ -14,45 +14,50 @@
 from tests.net_helpers import HOST, PeerServer
 from tests.process_helpers import config_document, listening_port, start_ingress
 
-READY = 10.0  # s in which nine in ten restarted processes have to be ready
-SHARE = 0.05  # of a core: what an ingress may have
+MAX_START_S = 10.0  # in which nine in ten restarted processes have to be ready
+CORE_FRACTION = 0.05  # of one core, which an ingress may have
 RUNS = 5
-MOST = 3.0  # times what its loop and its parser take to start by themselves: 1.3 to 2.0 measured
+MAX_CPU_RATIO = 3.0  # to the start of only its event loop and parser; runs gave 1.3 to 2.0
 BACKENDS = 200
-BARE = "import asyncio, uvloop, httptools, sys; sys.stderr.write('listening on :1\\n'); sys.stdin.read()"
+BASELINE_PROGRAM = (
+    "import asyncio, uvloop, httptools, sys; sys.stderr.write('listening on :1\\n'); sys.stdin.read()"
+)
 
 
-def processor_time(process: int) -> float:
-    """Seconds that the process has used, by its own clock: clock_getcpuclockid(3)."""
-    return time.clock_gettime(~process << 3 | 2)
+def cpu_time(pid: int) -> float:
+    """Returns the CPU seconds that process `pid` has used; the clock id is as in clock_getcpuclockid(3)."""
+    return time.clock_gettime(~pid << 3 | 2)
 
 
-def to_ready(ran: subprocess.Popen[str]) -> tuple[float, float]:
-    """Seconds of the processor, and by the clock."""
-    began = time.monotonic()
+def time_to_listen(process: subprocess.Popen[str]) -> tuple[float, float]:
+    """Returns the CPU time and the elapsed time (s) until the process listens; then kills it."""
+    started_at = time.monotonic()
     try:
-        listening_port(ran)
-        return processor_time(ran.pid), time.monotonic() - began
+        listening_port(process)
+        return cpu_time(process.pid), time.monotonic() - started_at
     finally:
-        ran.kill()
-        ran.communicate()
+        process.kill()
+        process.communicate()
 
 
-def bare() -> subprocess.Popen[str]:
+def start_baseline() -> subprocess.Popen[str]:
     pipe = subprocess.PIPE
-    return subprocess.Popen([sys.executable, "-c", BARE], stdin=pipe, stderr=pipe, text=True)
+    return subprocess.Popen([sys.executable, "-c", BASELINE_PROGRAM], stdin=pipe, stderr=pipe, text=True)
 
 
 @pytest.fixture
 def compiled(monkeypatch: pytest.MonkeyPatch, tmp_path_factory: pytest.TempPathFactory) -> None:
-    """As `build` leaves it, though the tests may be told to write no byte code beside the source."""
+    """Lets processes write and use byte code, as after `build`, even if it is disabled for the tests."""
     monkeypatch.delenv("PYTHONDONTWRITEBYTECODE", raising=False)
     monkeypatch.setenv("PYTHONPYCACHEPREFIX", str(tmp_path_factory.mktemp("compiled")))
 
 
-async def test_a_start_with_all_else_silent_uses_and_waits_little(tmp_path: Path, compiled: None) -> None:
-    """Discovery and the counter take connections and say nothing. The loop and the parser that it stands on
-    are the measure of the machine; by them, a twentieth of a core is enough with the waits added."""
+async def test_a_start_without_answers_of_discovery_and_counter_is_fast_on_little_cpu(
+    tmp_path: Path, compiled: None
+) -> None:
+    """Discovery and the counter accept connections and do not answer. The bound on CPU time is relative to a
+    start of only the event loop and the parser, which shows the machine's speed. With the waits added, a
+    twentieth of a core must be enough."""
     agent, counter = await PeerServer().start(), await PeerServer().start()
     known = {
         "index": 1,
@@ -62,17 +67,19 @@
             for n in range(BACKENDS)
         ],
     }
-    made = config_document(known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}")
+    document = config_document(
+        known=known, discovery=f"{HOST}:{agent.port}", counter=f"{HOST}:{counter.port}"
+    )
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(made))
-    to_ready(start_ingress(path))  # the first one compiles
-    to_ready(bare())
-    found = [to_ready(start_ingress(path)) for _ in range(RUNS)]
-    least = min(to_ready(bare())[0] for _ in range(RUNS))
-    used, took = min(cpu for cpu, _ in found), min(wall for _, wall in found)
-    waits = took - used
-    assert used < MOST * least
-    assert waits < LIST_WAIT_SECONDS + 0.5
-    assert used / SHARE + waits < READY
+    path.write_text(json.dumps(document))
+    time_to_listen(start_ingress(path))  # the first start compiles
+    time_to_listen(start_baseline())
+    measured = [time_to_listen(start_ingress(path)) for _ in range(RUNS)]
+    baseline_cpu_s = min(time_to_listen(start_baseline())[0] for _ in range(RUNS))
+    cpu_s, elapsed_s = min(cpu for cpu, _ in measured), min(wall for _, wall in measured)
+    wait_s = elapsed_s - cpu_s
+    assert cpu_s < MAX_CPU_RATIO * baseline_cpu_s
+    assert wait_s < LIST_WAIT_SECONDS + 0.5
+    assert cpu_s / CORE_FRACTION + wait_s < MAX_START_S
     agent.stop()
     counter.stop()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP, on real processes."""
+"""Reload of the configuration file after SIGHUP, in real processes."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 )
 
 
-async def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_after_it(tmp_path: Path) -> None:
-    """Nobody sends a second signal: the old discovery would be the process's for good."""
+async def test_a_configuration_file_that_is_missing_for_a_moment_is_read_again(tmp_path: Path) -> None:
+    """No second SIGHUP follows, so without further attempts the process would stay with the old discovery."""
     agents = [await PeerServer(answer_as_discovery(5)).start() for _ in range(2)]
     files = [json.dumps(config_document(discovery=f"{HOST}:{agent.port}")) for agent in agents]
     path = tmp_path / "config.json"
     path.write_text(files[0])
-    ran = start_ingress(path)
-    await asyncio.to_thread(listening_port, ran)
+    process = start_ingress(path)
+    await asyncio.to_thread(listening_port, process)
     path.unlink()
-    ran.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGHUP)
     await asyncio.sleep(0.4)
     path.write_text(files[1])
     await agents[1].until(lambda: bool(agents[1].watched))
-    await stop_orderly(ran)
+    await stop_orderly(process)
     for agent in agents:
         agent.stop()
 
@@ -51,28 +51,28 @@
     ]
     path = tmp_path / "config.json"
     path.write_text(files[0])
-    ran = start_ingress(path, EDGE_DISCOVERY=f"{HOST}:{agents[0].port}")
-    port = await asyncio.to_thread(listening_port, ran)
+    process = start_ingress(path, EDGE_DISCOVERY=f"{HOST}:{agents[0].port}")
+    port = await asyncio.to_thread(listening_port, process)
     await agents[0].until(lambda: bool(agents[0].watched))
     while not (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 "):
-        pass  # the counter's and the discovery's first answers are on their way
+        pass  # until the first answers of the counter and discovery have arrived
     assert servers[0].peers and not servers[1].peers
     path.write_text(files[1])
-    ran.send_signal(signal.SIGHUP)
-    ran.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGHUP)
     await agents[1].until(lambda: agents[1].watched == [b"GET /discovery/hosts?watch=1&from=2"])
     await agents[0].until(lambda: len(agents[0].closed) == len(agents[0].peers))
     await counters[0].until(lambda: len(counters[0].closed) == len(counters[0].peers))
     assert (await fetch(port, request("b1", Cookie=f"customer={8:016x}"))).startswith(b"HTTP/1.1 200 ")
     assert servers[1].peers and counters[1].added and agents[0].watched
     path.write_text("{")
-    ran.send_signal(signal.SIGHUP)
-    assert ran.stderr
-    assert "not reloaded" in await asyncio.to_thread(ran.stderr.readline)
+    process.send_signal(signal.SIGHUP)
+    assert process.stderr
+    assert "not reloaded" in await asyncio.to_thread(process.stderr.readline)
     assert (await fetch(port, request("c1", Cookie=f"customer={9:016x}"))).startswith(b"HTTP/1.1 200 ")
-    ran.send_signal(signal.SIGTERM)
-    ran.send_signal(signal.SIGHUP)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    process.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGHUP)
+    _, errors = await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
     for peer_server in (*servers, *agents, *counters):
         peer_server.stop()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""A real process whose system calls fail now and then in the ways that Linux documents: nothing is lost."""
+"""A real process whose system calls sometimes fail, with errors that Linux documents, loses no request."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
-ASKED = 60
-MAX_ATTEMPTS = 6  # of a request: where calls of several requests take turns, a retry may meet a failing one
+REQUEST_COUNT = 60
+MAX_ATTEMPTS = 6  # calls of concurrent requests interleave, so that a retry may meet a failing call again
 SETTINGS_WITH_ATTEMPTS = RAW | {"ceilings": RAW["ceilings"] | {"max_attempts": MAX_ATTEMPTS}}
-NAMES = 32  # of the backend: their concurrency limits together hold all that are asked at once, however slow
+ENDPOINT_COUNT = 32  # whose concurrency limits together admit all requests at once on a slow machine
 CONNECTION_FAILED = [errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EPERM]
 SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
@@ -32,9 +32,9 @@
 
 @pytest.fixture
 def faults(library: Path, tmp_path: Path) -> Iterator[Faults]:
-    made = Faults(library, tmp_path / "faults")
-    yield made
-    made.close()
+    injected = Faults(library, tmp_path / "faults")
+    yield injected
+    injected.close()
 
 
 @pytest_asyncio.fixture
@@ -45,33 +45,34 @@
 
 
 class Process:
-    """A real ingress in front of a backend that goes by several names."""
+    """A real ingress in front of one backend that is listed as ENDPOINT_COUNT endpoints."""
 
     def __init__(self, tmp_path: Path, faults: Faults, backend: PeerServer) -> None:
         listed = [
-            {"name": f"s-{n}", "address": f"{HOST}:{backend.port}", "status": "up"} for n in range(NAMES)
+            {"name": f"s-{n}", "address": f"{HOST}:{backend.port}", "status": "up"}
+            for n in range(ENDPOINT_COUNT)
         ]
         known = {"index": 1, "snapshot": True, "endpoints": listed}
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config_document(known=known, settings=SETTINGS_WITH_ATTEMPTS)))
-        self.ran: subprocess.Popen[str] = start_ingress(path, EDGE_TRACE="1", **faults.environment())
+        self.popen: subprocess.Popen[str] = start_ingress(path, EDGE_TRACE="1", **faults.environment())
 
     async def __aenter__(self) -> Process:
-        self.port = await asyncio.to_thread(listening_port, self.ran)
+        self.port = await asyncio.to_thread(listening_port, self.popen)
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        if self.ran.poll() is None:
-            self.ran.kill()
-        await asyncio.to_thread(self.ran.communicate)
+        if self.popen.poll() is None:
+            self.popen.kill()
+        await asyncio.to_thread(self.popen.communicate)
 
-    async def served(self, count: int, first: int = 0) -> list[bytes]:
-        """What becomes of so many requests, each on a connection of its own and of another customer."""
-        asked = []
+    async def send_requests(self, count: int, first: int = 0) -> list[bytes]:
+        """Returns the statuses of `count` requests, each from another customer on its own connection."""
+        tasks = []
         for number in range(first, first + count):
-            asked.append(asyncio.create_task(self._status(number)))
+            tasks.append(asyncio.create_task(self._status(number)))
             await asyncio.sleep(0.002)
-        return list(await asyncio.gather(*asked))
+        return list(await asyncio.gather(*tasks))
 
     async def _status(self, number: int) -> bytes:
         try:
@@ -80,31 +81,31 @@
             return repr(error).encode()
         return answer.split(b" ")[1]
 
-    async def ended(self) -> tuple[int, str]:
-        _, errors = await asyncio.to_thread(self.ran.communicate, timeout=30)
-        return self.ran.returncode, errors
+    async def wait_for_end(self) -> tuple[int, str]:
+        _, errors = await asyncio.to_thread(self.popen.communicate, timeout=30)
+        return self.popen.returncode, errors
 
 
 @pytest.mark.parametrize("error", [*CONNECTION_FAILED, *SHORTAGE, errno.EINTR], ids=errno.errorcode.get)
-async def test_accept_that_fails_loses_no_request_that_waits(
+async def test_failing_accept_calls_lose_no_waiting_request(
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
     async with Process(tmp_path, faults, backend) as process:
         faults.set(Call.ACCEPT, error, 7)
-        assert set(await process.served(ASKED)) == {b"200"}
+        assert set(await process.send_requests(REQUEST_COUNT)) == {b"200"}
         assert faults.failed(Call.ACCEPT) > 0
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE], ids=errno.errorcode.get)
-async def test_accept_that_fails_at_the_end_loses_nothing_and_the_end_is_in_order(
+async def test_failing_accept_calls_during_shutdown_lose_no_request(
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
     async with Process(tmp_path, faults, backend) as process:
-        assert set(await process.served(5)) == {b"200"}
+        assert set(await process.send_requests(5)) == {b"200"}
         faults.set(Call.ACCEPT, error, 3)
-        process.ran.send_signal(signal.SIGTERM)
-        assert set(await process.served(ASKED, first=100)) == {b"200"}
-        code, errors = await process.ended()
+        process.popen.send_signal(signal.SIGTERM)
+        assert set(await process.send_requests(REQUEST_COUNT, first=100)) == {b"200"}
+        code, errors = await process.wait_for_end()
         assert code == 0 and "Traceback" not in errors and faults.failed(Call.ACCEPT) > 0
 
 
@@ -125,17 +126,17 @@
         (Call.WRITE, errno.EAGAIN, 5),
     ],
 )
-async def test_other_calls_that_fail_for_a_moment_lose_no_request(
+async def test_other_failing_system_calls_lose_no_request(
     tmp_path: Path, faults: Faults, backend: PeerServer, call: Call, error: int, every: int
 ) -> None:
-    """An idempotent request is retried where an attempt fails, so that all are served."""
+    """Each failed attempt of an idempotent request is retried, so that all requests are served."""
     async with Process(tmp_path, faults, backend) as process:
         faults.set(call, error, every)
-        statuses = await process.served(ASKED)
+        statuses = await process.send_requests(REQUEST_COUNT)
         assert faults.failed(call) > 0
         faults.clear()
-        process.ran.send_signal(signal.SIGTERM)
-        code, errors = await process.ended()
+        process.popen.send_signal(signal.SIGTERM)
+        code, errors = await process.wait_for_end()
         assert set(statuses) == {b"200"}, events_of_unserved(statuses, errors)
         assert code == 0 and "Traceback" not in errors
 
@@ -147,15 +148,15 @@
 
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE])
-async def test_a_broken_connection_ends_with_its_own_request_alone(
+async def test_a_broken_connection_fails_only_its_own_request(
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
-    """Some reads of clients' sockets fail, too: that client has gone. All others are served, and none is
-    answered twice or with another's answer."""
+    """Reads of clients' sockets fail, too, which disconnects those clients. All others are served, and no
+    client gets two answers or another client's answer."""
     async with Process(tmp_path, faults, backend) as process:
         faults.set(Call.READ, error, 11)
-        statuses = await process.served(ASKED)
+        statuses = await process.send_requests(REQUEST_COUNT)
         failed = faults.failed(Call.READ)
         assert failed > 0 and sum(status != b"200" for status in statuses) <= failed
         faults.clear()
-        assert set(await process.served(10, first=500)) == {b"200"}
+        assert set(await process.send_requests(10, first=500)) == {b"200"}
