--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -18,7 +18,7 @@
     Attributes:
         limit: The number of connections that may be open.
         in_use: The number of connections that are open or being opened.
-        evict: Closes an idle connection; returns whether there was one.
+        evict: Closes a connection that is not needed now; returns whether there was one.
         on_freed: Is called after a connection was closed.
     """
 
@@ -29,7 +29,7 @@
         self.on_freed: Callable[[], None] = lambda: None
 
     def has_capacity(self) -> bool:
-        """Returns whether one more connection may be opened; evicts an idle one if necessary."""
+        """Returns whether one more connection may be opened; evicts another one if necessary."""
         return self.in_use < self.limit or self.evict()
 
     def acquire(self) -> None:
@@ -66,7 +66,7 @@
         self.allocate(self._limit // 2 if shared else self._limit)
 
     def allocate(self, limit: int) -> None:
-        """Divides `limit` descriptors again, and evicts idle connections over the new shares."""
+        """Divides `limit` descriptors again, and evicts connections beyond the new shares."""
         counted = max(2, int((limit - UNCOUNTED_DESCRIPTORS - self._admin_descriptors) * USABLE_FRACTION))
         self.clients.limit = max(1, int(counted * CLIENT_FRACTION))
         self.backends.limit = max(1, counted - self.clients.limit)
--- a/quota_ingress/net/lifecycle/control_plane.py
+++ b/quota_ingress/net/lifecycle/control_plane.py
@@ -35,11 +35,11 @@
         self._overrides = overrides
         self._config = config
         self._discovery: DiscoveryWatch | None = None  # None: not started
-        self._next_discovery: DiscoveryWatch | None = None  # until its first list arrives
+        self._next_discovery: DiscoveryWatch | None = None  # of a reload, until its first list arrives
         self._counter: CounterClient | None = None
         self._counter_switch: asyncio.Task[None] | None = None
         self._retiring: set[asyncio.Task[None]] = set()  # tasks that drain replaced counter clients
-        self._list_version: int | None = None  # the last version received from discovery
+        self._list_version: int | None = None  # the last version applied at start or received from discovery
         self._early_changes: list[EndpointListChange] = []  # received from the other process before `start`
 
     def start(self, list_version: int | None) -> None:
@@ -71,7 +71,8 @@
     def apply(self, config: Config) -> None:
         """Starts clients for addresses that a reload changed.
 
-        The old discovery stays in use until the new one has sent its list; see `_switch_counter`.
+        The old discovery stays in use until the new one has sent its list; for the counter see
+        `_switch_counter`.
         """
         newest = self._next_discovery or self._discovery
         if newest is None or config.discovery != newest.address:
--- a/quota_ingress/net/lifecycle/graceful_shutdown.py
+++ b/quota_ingress/net/lifecycle/graceful_shutdown.py
@@ -24,7 +24,7 @@
     this process accepts none.
     """
     loop = asyncio.get_running_loop()
-    longest_deadline = max(each.deadline for each in engine.settings.classes) / 1e6
+    longest_deadline = max(request_class.deadline for request_class in engine.settings.classes) / 1e6
     end = loop.time() + min(MAX_DEADLINE_SECONDS, longest_deadline) + DEADLINE_MARGIN_SECONDS
     listener.begin_shutdown()
     if not listener.handed_over:
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -85,7 +85,7 @@
         self.reloader.reload(path)
 
     async def stop(self) -> None:
-        """Shuts down gracefully, then logs the event counts and reports leaked resources."""
+        """Shuts down gracefully, reports leaked resources, and logs the event counts."""
         self._upgrade_process.stop()
         self.event_log.event("process", "stopping", open=self.engine.in_flight)
         await finish_requests(self.engine, self.listener)
@@ -127,7 +127,7 @@
         return is_known
 
     def drain(self, is_draining: bool) -> None:
-        """Takes the ingress out of service, or back in."""
+        """Takes the ingress out of service if `is_draining`, else puts it back in service."""
         self.listener.set_out_of_service(is_draining)
         self._notify_other_process(DrainCall(is_draining))
 
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -62,7 +62,7 @@
         """Applies a list change that discovery has sent to the other process."""
 
     def share_descriptors(self, with_other: bool) -> None:
-        """Is called when another process starts, or stops, holding descriptors under the same limit."""
+        """Uses half of the descriptors if `with_other`: another process has the same limit; else all."""
 
     def on_successor_lost(self) -> None:
         """Serves again: the process that took over has ended."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -129,9 +129,7 @@
         tasks += [asyncio.create_task(run_idle_client(port)) for _ in range(CROWD)]
         await asyncio.sleep(0.5)
         process.send_signal(signal.SIGCONT)
-        await asyncio.sleep(
-            4
-        )  # past the watch's heartbeat timeout, and until closed clients have reconnected
+        await asyncio.sleep(4)  # past the watch's heartbeat timeout; closed clients have reconnected
         for peer in counter.peers:
             peer.transport.abort()
         counter_connections, open_descriptors = len(counter.peers), len(os.listdir(f"/proc/{process.pid}/fd"))
