--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -279,7 +279,7 @@
         path.write_text(json.dumps(config_document(known=known)), "utf-8-sig")
         read = load_config(str(path), {}).known_endpoints
         assert (read and len(read.entries)) == found
-    assert "known: not understood" in caplog.text
+    assert "known: invalid endpoint list" in caplog.text
 
 
 async def test_a_process_that_receives_90_000_endpoints_twice_stays_under_64_mb(tmp_path: Path) -> None:
@@ -295,7 +295,7 @@
     admin = 0
     while not admin:
         line = await asyncio.to_thread(ran.stderr.readline)
-        admin = int(line.rpartition(":")[2]) if "operators call" in line else 0
+        admin = int(line.rpartition(":")[2]) if "operators: listening for calls" in line else 0
     await asyncio.to_thread(listening_port, ran)
     async with asyncio.timeout(60):
         await agent.until(lambda: bool(agent.watched))
