--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -302,7 +302,7 @@
         path.write_text(json.dumps(config_document(known=known)), "utf-8-sig")
         endpoints = load_config(str(path), {}).known_endpoints
         assert (endpoints and len(endpoints.entries)) == expected_count
-    assert "known: not understood" in caplog.text
+    assert "known: invalid endpoint list" in caplog.text
 
 
 async def test_a_process_that_receives_90_000_endpoints_twice_stays_under_64_mb(tmp_path: Path) -> None:
