--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -318,7 +318,7 @@
     admin = 0
     while not admin:
         line = await asyncio.to_thread(process.stderr.readline)
-        admin = int(line.rpartition(":")[2]) if "operators call" in line else 0
+        admin = int(line.rpartition(":")[2]) if "operators: listening for calls" in line else 0
     await asyncio.to_thread(listening_port, process)
     async with asyncio.timeout(60):
         await agent.until(lambda: bool(agent.watched))
