--- a/ingress_testbed/faults/__init__.py
+++ b/ingress_testbed/faults/__init__.py
@@ -19,7 +19,7 @@
 SHORT = 0  # in place of an errno: the call moves one byte only
 
 
-class Call(IntEnum):
+class SystemCall(IntEnum):
     """In the order of `enum call` in faults.c."""
 
     ACCEPT = 0
@@ -64,7 +64,7 @@
         """`control` is a file that is made for it; the process maps it, too."""
         self._library = library
         self._path = control
-        size = SHIFT.size + RULE.size * len(Call)
+        size = SHIFT.size + RULE.size * len(SystemCall)
         control.write_bytes(bytes(size))
         with control.open("r+b") as file:
             self._control = mmap.mmap(file.fileno(), size)
@@ -73,16 +73,16 @@
         """Returns what the process has to be started with."""
         return {"LD_PRELOAD": str(self._library), "FAULTS_FILE": str(self._path)}
 
-    def set(self, call: Call, error: int, every: int) -> None:
+    def set(self, call: SystemCall, error: int, every: int) -> None:
         """Lets each `every`-th call fail with `error`, an errno or SHORT; 0 for none."""
         RULE.pack_into(self._control, self._at(call), error, every, 0, 0)
 
     def clear(self) -> None:
         """No call fails from now on; the wall clock stays shifted."""
-        for call in Call:
+        for call in SystemCall:
             self.set(call, SHORT, 0)
 
-    def failed(self, call: Call) -> int:
+    def failed(self, call: SystemCall) -> int:
         """Returns how often the call has failed since it was set."""
         return int(RULE.unpack_from(self._control, self._at(call))[3])
 
@@ -95,5 +95,5 @@
         self._control.close()
 
     @staticmethod
-    def _at(call: Call) -> int:
+    def _at(call: SystemCall) -> int:
         return SHIFT.size + RULE.size * call
--- a/ingress_testbed/soak/fault_injector.py
+++ b/ingress_testbed/soak/fault_injector.py
@@ -10,8 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Protocol
 
-from ingress_testbed.faults import SHORT
-from ingress_testbed.faults import Call as SystemCall
+from ingress_testbed.faults import SHORT, SystemCall
 from ingress_testbed.soak.backend_behaviour import SOUND
 from ingress_testbed.soak.discovery import NodeDiscovery
 from ingress_testbed.soak.endpoints import EndpointTable
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 import pytest
 import pytest_asyncio
 
-from ingress_testbed.faults import SHORT, Call, Faults, build
+from ingress_testbed.faults import SHORT, Faults, SystemCall, build
 from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
@@ -90,9 +90,9 @@
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
     async with Process(tmp_path, faults, backend) as process:
-        faults.set(Call.ACCEPT, error, 7)
+        faults.set(SystemCall.ACCEPT, error, 7)
         assert set(await process.served(ASKED)) == {b"200"}
-        assert faults.failed(Call.ACCEPT) > 0
+        assert faults.failed(SystemCall.ACCEPT) > 0
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE], ids=errno.errorcode.get)
@@ -101,32 +101,32 @@
 ) -> None:
     async with Process(tmp_path, faults, backend) as process:
         assert set(await process.served(5)) == {b"200"}
-        faults.set(Call.ACCEPT, error, 3)
+        faults.set(SystemCall.ACCEPT, error, 3)
         process.ran.send_signal(signal.SIGTERM)
         assert set(await process.served(ASKED, first=100)) == {b"200"}
         code, errors = await process.ended()
-        assert code == 0 and "Traceback" not in errors and faults.failed(Call.ACCEPT) > 0
+        assert code == 0 and "Traceback" not in errors and faults.failed(SystemCall.ACCEPT) > 0
 
 
 @pytest.mark.parametrize(
     ("call", "error", "every"),
     [
-        (Call.CONNECT, errno.EADDRNOTAVAIL, 5),
-        (Call.CONNECT, errno.ENETUNREACH, 5),
-        (Call.CONNECT, errno.EINTR, 5),
-        (Call.SOCKET, errno.ENFILE, 5),
-        (Call.SOCKET, errno.ENOBUFS, 5),
-        (Call.WAIT, errno.EINTR, 3),
-        (Call.READ, SHORT, 3),
-        (Call.WRITE, SHORT, 3),
-        (Call.READ, errno.EINTR, 3),
-        (Call.WRITE, errno.EINTR, 3),
-        (Call.READ, errno.EAGAIN, 5),
-        (Call.WRITE, errno.EAGAIN, 5),
+        (SystemCall.CONNECT, errno.EADDRNOTAVAIL, 5),
+        (SystemCall.CONNECT, errno.ENETUNREACH, 5),
+        (SystemCall.CONNECT, errno.EINTR, 5),
+        (SystemCall.SOCKET, errno.ENFILE, 5),
+        (SystemCall.SOCKET, errno.ENOBUFS, 5),
+        (SystemCall.WAIT, errno.EINTR, 3),
+        (SystemCall.READ, SHORT, 3),
+        (SystemCall.WRITE, SHORT, 3),
+        (SystemCall.READ, errno.EINTR, 3),
+        (SystemCall.WRITE, errno.EINTR, 3),
+        (SystemCall.READ, errno.EAGAIN, 5),
+        (SystemCall.WRITE, errno.EAGAIN, 5),
     ],
 )
 async def test_other_calls_that_fail_for_a_moment_lose_no_request(
-    tmp_path: Path, faults: Faults, backend: PeerServer, call: Call, error: int, every: int
+    tmp_path: Path, faults: Faults, backend: PeerServer, call: SystemCall, error: int, every: int
 ) -> None:
     """An idempotent request is retried where an attempt fails, so that all are served."""
     async with Process(tmp_path, faults, backend) as process:
@@ -153,9 +153,9 @@
     """Some reads of clients' sockets fail, too: that client has gone. All others are served, and none is
     answered twice or with another's answer."""
     async with Process(tmp_path, faults, backend) as process:
-        faults.set(Call.READ, error, 11)
+        faults.set(SystemCall.READ, error, 11)
         statuses = await process.served(ASKED)
-        failed = faults.failed(Call.READ)
+        failed = faults.failed(SystemCall.READ)
         assert failed > 0 and sum(status != b"200" for status in statuses) <= failed
         faults.clear()
         assert set(await process.served(10, first=500)) == {b"200"}
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from ingress_testbed.faults import Call, Faults, build
+from ingress_testbed.faults import Faults, SystemCall, build
 from ingress_testbed.soak.nodes import free_port
 from quota_ingress.config import load_config
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint
@@ -44,10 +44,10 @@
 }
 
 
-@pytest.mark.parametrize("call", [Call.SOCKET, Call.BIND, Call.LISTEN, Call.RENAME])
+@pytest.mark.parametrize("call", [SystemCall.SOCKET, SystemCall.BIND, SystemCall.LISTEN, SystemCall.RENAME])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO, errno.ENFILE], ids=errno.errorcode.get)
 async def test_a_folder_that_fails_for_a_while_puts_an_upgrade_off_and_ends_no_start(
-    tmp_path: Path, call: Call, error: int
+    tmp_path: Path, call: SystemCall, error: int
 ) -> None:
     """A real process whose system calls fail as it offers itself: it serves, and is found later on."""
     faults = Faults(build(tmp_path), tmp_path / "faults")
@@ -55,7 +55,7 @@
     folder.mkdir()
     path.write_text(json.dumps(config_document()))
     with SharedListener(folder) as shared:
-        faults.set(call, error, 1 if call is Call.RENAME else 2)
+        faults.set(call, error, 1 if call is SystemCall.RENAME else 2)
         serving = await shared.serve(path, **faults.environment())
         faults.clear()
         coming = UpgradeCoordinator(RecordingParticipant(), str(folder))
