--- a/ingress_testbed/faults/__init__.py
+++ b/ingress_testbed/faults/__init__.py
@@ -16,7 +16,7 @@
 SOURCE = Path(__file__).parent / "faults.c"
 RULE = struct.Struct("<iiqq")  # error, every, calls, failed
 SHIFT = struct.Struct("<q")
-SHORT = 0  # in place of an errno: the call moves one byte only
+SHORT_TRANSFER = 0  # in place of an errno: the call moves one byte only
 
 
 class SystemCall(IntEnum):
@@ -74,13 +74,13 @@
         return {"LD_PRELOAD": str(self._library), "FAULTS_FILE": str(self._path)}
 
     def set(self, call: SystemCall, error: int, every: int) -> None:
-        """Lets each `every`-th call fail with `error`, an errno or SHORT; 0 for none."""
+        """Lets each `every`-th call fail with `error`, an errno or SHORT_TRANSFER; 0 for none."""
         RULE.pack_into(self._control, self._at(call), error, every, 0, 0)
 
     def clear(self) -> None:
         """No call fails from now on; the wall clock stays shifted."""
         for call in SystemCall:
-            self.set(call, SHORT, 0)
+            self.set(call, SHORT_TRANSFER, 0)
 
     def failed(self, call: SystemCall) -> int:
         """Returns how often the call has failed since it was set."""
--- a/ingress_testbed/soak/fault_injector.py
+++ b/ingress_testbed/soak/fault_injector.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Protocol
 
-from ingress_testbed.faults import SHORT, SystemCall
+from ingress_testbed.faults import SHORT_TRANSFER, SystemCall
 from ingress_testbed.soak.backend_behaviour import SOUND
 from ingress_testbed.soak.discovery import NodeDiscovery
 from ingress_testbed.soak.endpoints import EndpointTable
@@ -41,8 +41,8 @@
     FailingCall(SystemCall.SOCKET, errno.ENFILE, 5),
     FailingCall(SystemCall.SOCKET, errno.ENOBUFS, 7),
     FailingCall(SystemCall.WAIT, errno.EINTR, 3),
-    FailingCall(SystemCall.READ, SHORT, 3),
-    FailingCall(SystemCall.WRITE, SHORT, 3),
+    FailingCall(SystemCall.READ, SHORT_TRANSFER, 3),
+    FailingCall(SystemCall.WRITE, SHORT_TRANSFER, 3),
 ]
 
 
@@ -187,7 +187,7 @@
         node.faults.set(failing.call, failing.error, failing.every)
         await asyncio.sleep(fault.seconds)
         with contextlib.suppress(ValueError):  # the run has ended
-            node.faults.set(failing.call, SHORT, 0)
+            node.faults.set(failing.call, SHORT_TRANSFER, 0)
 
     async def _step_wall_clock(self, fault: Fault, node: Node) -> None:
         node.faults.shift_wall_clock(self._rng.choice(CLOCK_STEPS))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 import pytest
 import pytest_asyncio
 
-from ingress_testbed.faults import SHORT, Faults, SystemCall, build
+from ingress_testbed.faults import SHORT_TRANSFER, Faults, SystemCall, build
 from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
@@ -117,8 +117,8 @@
         (SystemCall.SOCKET, errno.ENFILE, 5),
         (SystemCall.SOCKET, errno.ENOBUFS, 5),
         (SystemCall.WAIT, errno.EINTR, 3),
-        (SystemCall.READ, SHORT, 3),
-        (SystemCall.WRITE, SHORT, 3),
+        (SystemCall.READ, SHORT_TRANSFER, 3),
+        (SystemCall.WRITE, SHORT_TRANSFER, 3),
         (SystemCall.READ, errno.EINTR, 3),
         (SystemCall.WRITE, errno.EINTR, 3),
         (SystemCall.READ, errno.EAGAIN, 5),
