--- a/ingress_testbed/faults/__init__.py
+++ b/ingress_testbed/faults/__init__.py
@@ -82,7 +82,7 @@
         for call in SystemCall:
             self.set(call, SHORT_TRANSFER, 0)
 
-    def failed(self, call: SystemCall) -> int:
+    def failure_count(self, call: SystemCall) -> int:
         """Returns how often the call has failed since it was set."""
         return int(RULE.unpack_from(self._control, self._at(call))[3])
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -92,7 +92,7 @@
     async with Process(tmp_path, faults, backend) as process:
         faults.set(SystemCall.ACCEPT, error, 7)
         assert set(await process.served(ASKED)) == {b"200"}
-        assert faults.failed(SystemCall.ACCEPT) > 0
+        assert faults.failure_count(SystemCall.ACCEPT) > 0
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE], ids=errno.errorcode.get)
@@ -105,7 +105,7 @@
         process.ran.send_signal(signal.SIGTERM)
         assert set(await process.served(ASKED, first=100)) == {b"200"}
         code, errors = await process.ended()
-        assert code == 0 and "Traceback" not in errors and faults.failed(SystemCall.ACCEPT) > 0
+        assert code == 0 and "Traceback" not in errors and faults.failure_count(SystemCall.ACCEPT) > 0
 
 
 @pytest.mark.parametrize(
@@ -132,7 +132,7 @@
     async with Process(tmp_path, faults, backend) as process:
         faults.set(call, error, every)
         statuses = await process.served(ASKED)
-        assert faults.failed(call) > 0
+        assert faults.failure_count(call) > 0
         faults.clear()
         process.ran.send_signal(signal.SIGTERM)
         code, errors = await process.ended()
@@ -155,7 +155,7 @@
     async with Process(tmp_path, faults, backend) as process:
         faults.set(SystemCall.READ, error, 11)
         statuses = await process.served(ASKED)
-        failed = faults.failed(SystemCall.READ)
+        failed = faults.failure_count(SystemCall.READ)
         assert failed > 0 and sum(status != b"200" for status in statuses) <= failed
         faults.clear()
         assert set(await process.served(10, first=500)) == {b"200"}
