--- a/ingress_testbed/soak/backend_behaviour.py
+++ b/ingress_testbed/soak/backend_behaviour.py
@@ -1,10 +1,10 @@
-"""How an endpoint of a run answers: as it should, or by a fault."""
+"""How an endpoint of a run answers: normally, or with a fault."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SOUND = "sound"
+NORMAL = "sound"
 
 REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True)
 class Behaviour:
-    """A `fraction` of the answers come by `kind`, the others as they should."""
+    """A `fraction` of the answers have the fault `kind`; the others are normal."""
 
-    kind: str = SOUND
+    kind: str = NORMAL
     fraction: float = 1.0
 
 
 def head_for(answer: bytes) -> bytes:
-    """Returns the head of a 200 that holds `answer`."""
+    """Returns the head of a 200 response with the body `answer`."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer)
--- a/ingress_testbed/soak/backends.py
+++ b/ingress_testbed/soak/backends.py
@@ -25,21 +25,21 @@
 from ingress_testbed.soak.setup import WITH_KEY, expected_answer, idempotency_key
 from ingress_testbed.standins.sockets import Connection, Server, reset
 
-MEAN_WORK = 0.03  # s for an answer
-MAX_WORK = 10 * MEAN_WORK
-SLOW_WORK = 0.4  # s more, at the most, of one that is slow
-REJECTION_WORK = 0.001  # s
-PIECE = 20_000  # bytes of a long answer at a time
-PIECE_GAP = 0.01  # s
+MEAN_WORK_TIME = 0.03  # s from a request to its answer
+MAX_WORK_TIME = 10 * MEAN_WORK_TIME
+MAX_SLOW_TIME = 0.4  # s that a slow endpoint adds at the most
+REJECTION_TIME = 0.001  # s
+PIECE_SIZE = 20_000  # bytes of a long answer that are written at a time
+PIECE_INTERVAL = 0.01  # s
 SWEEP_INTERVAL = 0.05  # s
-IDLE_RESET_FRACTION = 0.3  # of idle connections that are ended by a reset
+IDLE_RESET_FRACTION = 0.3  # of expired idle connections that are reset; the others are closed in order
 
 
 class Backends(Server):
     """All endpoints of a run.
 
     Attributes:
-        lag: s by which this process was late, at the most.
+        lag: The longest delay of this process's event loop, in s.
     """
 
     def __init__(self, seed: int, idle: float) -> None:
@@ -62,7 +62,7 @@
         return self.behaviours.get(address, Behaviour())
 
     def behave(self, address: str, behaviour: Behaviour) -> None:
-        """Sets how the endpoint at that address answers; one that goes down resets its connections."""
+        """Sets how the endpoint at that address answers. Going down resets its connections."""
         self.behaviours[address] = behaviour
         if behaviour.kind == "down":
             for connection in [c for c in self.connections if c.address == address]:
@@ -84,7 +84,7 @@
         self._backends = backends
         self._parser = httptools.HttpRequestParser(self)
         self._idle_since = time.monotonic()
-        self._began_at = 0.0  # when the present request's first byte came
+        self._began_at = 0.0  # when the first byte of the current request arrived; 0: none has
         self._arrival: Arrival | None = None
         self._url = b""
         self._headers: dict[bytes, bytes] = {}
@@ -92,18 +92,18 @@
         self._writing: asyncio.Task[None] | None = None
 
     def has_been_idle_for(self, seconds: float, now: float) -> bool:
-        """Returns whether no request has been open for that long."""
+        """Returns whether no request has been open for `seconds`."""
         return bool(self._idle_since) and now - self._idle_since > seconds
 
     def end(self, by_reset: bool) -> None:
-        """Ends the connection, in order or by a reset."""
+        """Closes the connection in order, or resets it."""
         if by_reset:
             reset(self.transport)
         else:
             self.transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """An endpoint that is down resets at once."""
+        """Registers the connection; an endpoint that is down resets it at once."""
         super().connection_made(transport)
         self.address = self.transport.get_extra_info("sockname")[0]
         self._backends.connections.add(self)
@@ -111,13 +111,13 @@
             reset(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the present request's record."""
+        """Records the end of the current request."""
         self._backends.connections.discard(self)
         if self._arrival and not self._arrival.ended_at:
             self._arrival.ended_at = time.monotonic()
 
     def data_received(self, data: bytes) -> None:
-        """Reads requests."""
+        """Parses requests; aborts the connection if one is invalid."""
         if not self._began_at:
             self._began_at = time.monotonic()
             self._idle_since = 0.0
@@ -127,25 +127,25 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        """The parser has found a request's first line."""
+        """Parser callback: a request begins."""
         self._url = b""
         self._headers = {}
         self._body = bytearray()
 
     def on_url(self, part: bytes) -> None:
-        """The parser has some of the target."""
+        """Parser callback: a part of the request target."""
         self._url += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser has a header."""
+        """Parser callback: a header field."""
         self._headers[name.lower()] = value
 
     def on_body(self, part: bytes) -> None:
-        """The parser has some of the body."""
+        """Parser callback: a part of the body."""
         self._body += part
 
     def on_message_complete(self) -> None:
-        """The parser has a whole request: records it, and answers after some work."""
+        """Parser callback: the request is complete. Records it, and answers after a drawn work time."""
         if self._url in PROBE_TARGETS:
             self.transport.write(PROBE_ANSWER)
             self._began_at = 0.0
@@ -158,20 +158,20 @@
             self.address,
             self._began_at,
             time.monotonic(),
-            self._time_told(),
-            sound=self._is_unchanged(request_id, target.path.split("/")[1], query),
+            self._forwarded_timeout(),
+            is_unchanged=self._is_unchanged(request_id, target.path.split("/")[1], query),
         )
         self._backends.arrivals.append(self._arrival)
         answer_size = int(query.get("size", ["0"])[0])
         self._begin_work(expected_answer(request_id, bytes(self._body), answer_size))
 
-    def _time_told(self) -> float:
-        """Returns the seconds that the ingress will wait."""
-        told = self._headers.get(b"request-timeout", b"0m").decode()
-        return int(told[:-1]) / (1000 if told.endswith("m") else 1e6)
+    def _forwarded_timeout(self) -> float:
+        """Returns the timeout in s that the ingress forwarded with the request."""
+        header = self._headers.get(b"request-timeout", b"0m").decode()
+        return int(header[:-1]) / (1000 if header.endswith("m") else 1e6)
 
     def _is_unchanged(self, request_id: str, request_class: str, query: dict[str, list[str]]) -> bool:
-        """Returns whether id, body and key are as the client sent them."""
+        """Returns whether id, body size and key are as the client sent them."""
         if query.get("id") != [request_id] or query.get("body") != [str(len(self._body))]:
             return False
         key = self._headers.get(b"idempotency-key", b"").decode()
@@ -181,15 +181,15 @@
         rng = self._backends.rng
         behaviour = self._backends.behaviour(self.address)
         kind = behaviour.kind if rng.random() < behaviour.fraction else "sound"
-        work = min(rng.expovariate(1 / MEAN_WORK), MAX_WORK)
+        work_time = min(rng.expovariate(1 / MEAN_WORK_TIME), MAX_WORK_TIME)
         if kind == "slow":
-            work += SLOW_WORK * rng.random()
+            work_time += MAX_SLOW_TIME * rng.random()
         if kind == "hang":
             return
         if kind == "full" and self._arrival:
             self._arrival.never_ran = True
-            work = REJECTION_WORK
-        asyncio.get_running_loop().call_later(work, self._answer, kind, answer)
+            work_time = REJECTION_TIME
+        asyncio.get_running_loop().call_later(work_time, self._answer, kind, answer)
 
     def _answer(self, kind: str, answer: bytes) -> None:
         if self.transport.is_closing():
@@ -204,7 +204,7 @@
                 self._write_last(REJECTED)
             case "garbage":
                 self._write_last(GARBAGE)
-            case "broken":  # half way through
+            case "broken":  # cut off in the middle of the body
                 self.transport.write(head_for(answer) + answer[: len(answer) // 2])
                 loop.call_later(0.01, self.end, self._backends.rng.random() < 0.5)
             case "no length":
@@ -220,12 +220,12 @@
                 self._writing = loop.create_task(self._write_in_pieces(head_for(answer) + answer))
 
     async def _write_in_pieces(self, data: bytes) -> None:
-        for at in range(0, len(data), PIECE):
-            if at:
-                await asyncio.sleep(PIECE_GAP)
+        for offset in range(0, len(data), PIECE_SIZE):
+            if offset:
+                await asyncio.sleep(PIECE_INTERVAL)
             if self.transport.is_closing():
                 return
-            self.transport.write(data[at : at + PIECE])
+            self.transport.write(data[offset : offset + PIECE_SIZE])
         self._finish()
 
     def _write_if_idle(self, data: bytes) -> None:
@@ -245,18 +245,18 @@
 
 
 class Host:
-    """The worker's host: what the run asks of its endpoints."""
+    """The endpoints as a worker's host; its public methods are called from the run's process."""
 
     async def start(self, seed: int, idle: float) -> int:
-        """Listens; returns the port."""
+        """Starts the endpoints, which close connections that are idle for `idle` s. Returns their port."""
         self._backends = Backends(seed, idle)
         await self._backends.start()
         return self._backends.port
 
     def behave(self, address: str, kind: str, fraction: float) -> None:
-        """Sets how an endpoint answers."""
+        """Sets the fault `kind` of an endpoint, and the fraction of its answers that have it."""
         self._backends.behave(address, Behaviour(kind, fraction))
 
     def result(self) -> dict[str, Any]:
-        """Returns what was recorded."""
+        """Returns the arrivals and this process's longest delay, as JSON values."""
         return {"arrivals": msgspec.to_builtins(self._backends.arrivals), "lag": self._backends.lag}
--- a/ingress_testbed/soak/client_connection.py
+++ b/ingress_testbed/soak/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: requests written, answers read and compared with what was asked."""
+"""A client's connection: writes requests, and compares the answers with the expected ones."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """A request that has been written and has no answer yet."""
+    """A request that has no answer yet."""
 
     call: Call
     request: ClientRequest
     done: asyncio.Future[None]
 
     def end(self, ending: Ending) -> None:
-        """Records how the call ended, unless that is known, and wakes who waits for it."""
+        """Records how the call ended, unless an ending is recorded already, and resolves `done`."""
         end_call(self.call, ending)
         if not self.done.done():
             self.done.set_result(None)
 
 
 class ClientConnection(Connection):
-    """Answers come in the order of the requests.
+    """A connection on which answers arrive in the order of the requests.
 
     Attributes:
         pending: Requests without an answer, oldest first.
-        request_count: Requests asked for on it so far.
-        answer_begun: Some of the next answer has come.
-        closed: Is done once the connection has ended.
+        request_count: Requests registered on the connection so far.
+        answer_begun: Whether a part of the next answer has arrived.
+        closed: Done once the connection has ended.
     """
 
     def __init__(self) -> None:
@@ -49,8 +49,8 @@
         self._drained = asyncio.Event()
         self._drained.set()
 
-    def expect_answer(self, call: Call, request: ClientRequest) -> asyncio.Future[None]:
-        """Registers a request that is about to be written; the result is done once it has ended."""
+    def register_request(self, call: Call, request: ClientRequest) -> asyncio.Future[None]:
+        """Registers a request that is about to be written. The future is done once the call has ended."""
         pending = PendingCall(call, request, asyncio.get_running_loop().create_future())
         call.first_on_connection = self.request_count == 0
         call.behind_others = bool(self.pending)
@@ -61,41 +61,41 @@
             self.pending.append(pending)
         return pending.done
 
-    def forget(self, call: Call) -> None:
-        """Takes a call off: how the connection ends is not the call's end any more."""
+    def remove_call(self, call: Call) -> None:
+        """Removes a pending call: the end of the connection is no longer recorded as its ending."""
         self.pending = deque(pending for pending in self.pending if pending.call is not call)
 
     async def send(self, data: bytes) -> None:
-        """Returns once the system has taken it all."""
+        """Writes `data`, and returns once the kernel has accepted all of it."""
         if not self.transport.is_closing():
             self.transport.write(data)
             await self._drained.wait()
 
     def pause_writing(self) -> None:
-        """The system takes no more for now."""
+        """The kernel's send buffer is full."""
         self._drained.clear()
 
     def resume_writing(self) -> None:
-        """The system has taken what was written."""
+        """The kernel has accepted all written data."""
         self._drained.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Nothing is held back here: `send` returns when the system has the bytes."""
+        """Sets the write buffer's limit to 0, so that `send` returns only when the kernel has all bytes."""
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=0)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends all that is pending; only the oldest can have part of an answer."""
+        """Ends all pending calls; only the oldest one can have a part of its answer."""
         self._drained.set()
         ending = Ending.RESET if exc else Ending.CLOSED
         while self.pending:
-            self.pending.popleft().end(Ending.BROKEN if self.answer_begun else ending)
+            self.pending.popleft().end(Ending.TRUNCATED if self.answer_begun else ending)
             self.answer_begun = False
         if not self.closed.done():
             self.closed.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        """Reads answers."""
+        """Parses answers; aborts the connection if one is invalid."""
         self.answer_begun = True
         try:
             self._parser.feed_data(data)
@@ -103,29 +103,29 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        """The parser has found an answer's first line."""
+        """Parser callback: an answer begins."""
         self._body = bytearray()
 
     def on_body(self, part: bytes) -> None:
-        """The parser has some of an answer's body."""
+        """Parser callback: a part of an answer's body."""
         self._body += part
 
     def on_message_complete(self) -> None:
-        """The parser has a whole answer."""
+        """Parser callback: an answer is complete. Compares it with the oldest request's; ignores a 100."""
         status = self._parser.get_status_code()
         if status == 100 or not self.pending:
             return
         self.answer_begun = False
         pending = self.pending.popleft()
         pending.call.status = status
-        pending.call.sound = status != 200 or bytes(self._body) == pending.request.expected_answer
+        pending.call.has_expected_body = status != 200 or bytes(self._body) == pending.request.expected_answer
         pending.end(Ending.ANSWERED)
         if not self._parser.should_keep_alive():
             self.transport.close()
 
 
 def end_call(call: Call, ending: Ending) -> None:
-    """Records how a call ended, unless that is known."""
+    """Records how a call ended, unless an ending is recorded already."""
     if call.ending is Ending.NO_ANSWER:
         call.ending = ending
         call.ended_at = time.monotonic()
--- a/ingress_testbed/soak/client_request.py
+++ b/ingress_testbed/soak/client_request.py
@@ -1,4 +1,4 @@
-"""One drawn request of a run, and the bytes that ask for it."""
+"""One randomly drawn request of a run, and its encoding."""
 
 from __future__ import annotations
 
@@ -16,24 +16,27 @@
 CLASS_WEIGHTS = (5, 2, 3)
 BODY_SIZES = (0, 200, 5_000, 70_000, 300_000)  # bytes
 BODY_WEIGHTS = (4, 4, 2, 1, 1)
-ANSWER_SIZES = (0, 1_000, 60_000, 200_000)  # bytes, at the least
+ANSWER_SIZES = (0, 1_000, 60_000, 200_000)  # bytes; the shortest body that the endpoint may return
 ANSWER_WEIGHTS = (8, 8, 1, 1)
 TIMEOUT_WEIGHTS = (1, 4, 5)
 CHUNKED_FRACTION = 0.2
 
 
 class ClientRequest:
-    """What one request is.
+    """A randomly drawn request.
 
     Attributes:
-        timeout: s that the client waits.
+        timeout: The request's timeout in s.
         body: Empty for an idempotent class.
-        answer_size: Bytes that the endpoint is asked for, at the least.
-        chunked: The body has no declared length.
+        answer_size: The least size in bytes of the answer that the endpoint has to return.
+        chunked: Whether the body has chunked encoding instead of a declared length.
     """
 
     def __init__(self, rng: random.Random, request_id: str, node: int, nodes: int) -> None:
-        """Draws a request to `node`, one of `nodes`. The order of draws is part of a seed's meaning."""
+        """Draws a request to `node`, one of `nodes`.
+
+        A seed reproduces a run only while the order of the draws stays the same.
+        """
         self.id = request_id
         self.request_class = rng.choices(CLASSES, CLASS_WEIGHTS)[0]
         timeouts = (rng.uniform(0.005, 0.05), rng.uniform(0.2, 1.0), 2.8)
@@ -48,11 +51,11 @@
 
     @property
     def expected_answer(self) -> bytes:
-        """The body of a 200."""
+        """The body of the 200 response to this request."""
         return expected_answer(self.id, self.body, self.answer_size)
 
     def encode(self) -> bytes:
-        """Returns the request as it is written."""
+        """Returns the request's bytes, head and body."""
         return self._head() + self._encoded_body()
 
     def _head(self) -> bytes:
--- a/ingress_testbed/soak/discovery.py
+++ b/ingress_testbed/soak/discovery.py
@@ -1,34 +1,34 @@
-"""The run's discovery: one agent address a node, and a note of what each node has been told, and when."""
+"""The run's discovery: one address for each node, and records of the lists written to each node."""
 
 from __future__ import annotations
 
 import time
 from typing import Any
 
-from ingress_testbed.soak.records import Withdrawal, Written
+from ingress_testbed.soak.records import ListWrite, Withdrawal
 from ingress_testbed.standins.discovery import DiscoveryConnection, DiscoveryServer
 
 
-def agent(node: int, port: int) -> str:
-    """Returns the address at which node number `node` calls discovery."""
+def agent_address(node: int, port: int) -> str:
+    """Returns the address and port at which node number `node` calls discovery."""
     return f"127.9.0.{node + 1}:{port}"
 
 
 class NodeDiscovery(DiscoveryServer):
-    """Which node a caller is shows in the address that it calls."""
+    """Discovery with one address for each node; the address that is called identifies the node."""
 
     def __init__(self, entries: list[dict[str, Any]], version: int = 1) -> None:
         super().__init__(entries, version)
         self.withdrawals: list[Withdrawal] = []
-        self.written: list[Written] = []
+        self.list_writes: list[ListWrite] = []
 
     async def start(self) -> None:
-        """Listens at every loopback address, and beats each 2 s."""
-        await self.serve(lambda: NodeCaller(self))
+        """Listens at every loopback address, and sends a heartbeat every 2 s."""
+        await self.serve(lambda: NodeConnection(self))
         self.every(2.0, self._send_heartbeat)
 
     def apply_change(self, entries: list[dict[str, Any]]) -> int:
-        """Tells changed entries, and records those that leave. Returns the new version."""
+        """Announces changed entries, and records those that are no longer up. Returns the new version."""
         now = time.monotonic()
         for entry in entries:
             if entry["status"] != "up":
@@ -38,18 +38,18 @@
     def _send_to_watches(self, line: bytes) -> None:
         super()._send_to_watches(line)
         for watch in self.watches:
-            self.note(watch)
+            self.record_write(watch)
 
-    def note(self, caller: DiscoveryConnection) -> None:
-        """It has been written all up to the present version."""
-        host = caller.transport.get_extra_info("sockname")
+    def record_write(self, connection: DiscoveryConnection) -> None:
+        """Records that the list up to the current version has been written to the connection's node."""
+        host = connection.transport.get_extra_info("sockname")
         if host:
             node = int(host[0].rpartition(".")[2]) - 1
-            self.written.append(Written(node, self.version, time.monotonic()))
+            self.list_writes.append(ListWrite(node, self.version, time.monotonic()))
 
 
-class NodeCaller(DiscoveryConnection):
-    """A call of a node: what it has been written is recorded."""
+class NodeConnection(DiscoveryConnection):
+    """A connection of a node: records the lists that are written to it."""
 
     _server: NodeDiscovery
 
@@ -57,4 +57,4 @@
         rejected_calls = self._server.rejected_calls
         super()._answer(target)
         if self._server.rejected_calls == rejected_calls:
-            self._server.note(self)
+            self._server.record_write(self)
--- a/ingress_testbed/soak/fault_injector.py
+++ b/ingress_testbed/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a run on its nodes, discoveries, counters, endpoints and clients."""
+"""Injects the faults of a run into its nodes, discoveries, counters, endpoints and clients."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Protocol
 
 from ingress_testbed.faults import SHORT_TRANSFER, SystemCall
-from ingress_testbed.soak.backend_behaviour import SOUND
+from ingress_testbed.soak.backend_behaviour import NORMAL
 from ingress_testbed.soak.discovery import NodeDiscovery
 from ingress_testbed.soak.endpoints import EndpointTable
 from ingress_testbed.soak.nodes import Node
@@ -20,11 +20,11 @@
 from ingress_testbed.worker import Worker
 
 CLOCK_STEPS = (3.0, -3.0, 3600.0, -3600.0, 0.0)  # s by which a wall clock is stepped
-REJECTING_CAPACITY = 2.0  # calls a second that a discovery answers while it rejects callers
+REJECTING_CAPACITY = 2.0  # calls a second that discovery still answers while it rejects callers
 
 
 class FailingCall(NamedTuple):
-    """A system call that fails each so many times."""
+    """A system call of which each `every`-th invocation fails with `error`."""
 
     call: SystemCall
     error: int
@@ -55,40 +55,40 @@
     clients: Worker
     backends: Worker
     endpoints: EndpointTable
-    descriptor_limit: int  # of each node
+    descriptor_limit: int  # open descriptors that each node's settings allow
 
-    def configure(self, number: int, which: int) -> None:
-        """Writes a node's configuration with discovery and counter number `which`."""
+    def configure(self, number: int, stand_in_index: int) -> None:
+        """Writes a node's configuration, with discovery and counter number `stand_in_index`."""
 
 
 class FaultInjector:
-    """Carries out one fault after the other, or side by side.
+    """Injects faults, of which several may be active at a time.
 
     Attributes:
-        silences: Spans in which discovery answered nobody, or rejected callers.
+        discovery_outages: Spans in which discovery answered no call, or rejected callers.
     """
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
-        self.silences: list[tuple[float, float]] = []
+        self.discovery_outages: list[tuple[float, float]] = []
         self._fleet = fleet
         self._rng = rng
-        self._by_kind: dict[str, Callable[[Fault, Node], Awaitable[None]]] = {
+        self._handlers: dict[str, Callable[[Fault, Node], Awaitable[None]]] = {
             "stop node": self._stop_node,
             "kill node": self._kill_node,
             "upgrade node": self._upgrade_node,
             "failed upgrade": self._fail_upgrade,
             "reload": self._reload,
             "reload twice": self._reload,
-            "hold node up": self._hold_up,
+            "hold node up": self._suspend,
             "crowd": self._crowd,
             "discovery silent": self._silence_discovery,
-            "discovery cut": self._cut_discovery,
+            "discovery cut": self._abort_watches,
             "discovery turns away": self._reject_at_discovery,
             "counter silent": self._silence_counter,
-            "counter cut": self._cut_counter,
-            "counter spoilt": self._spoil_counter,
+            "counter cut": self._abort_counter_connections,
+            "counter spoilt": self._return_malformed_counts,
             "drain node": self._drain_node,
-            "clients leave": self._let_clients_leave,
+            "clients leave": self._disconnect_clients,
             "drain backends": self._drain_endpoints,
             "remove backends": self._remove_endpoints,
             "restart backends": self._restart_endpoints,
@@ -98,9 +98,9 @@
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Returns once the fault is over."""
-        carry_out = self._by_kind.get(fault.kind, self._misbehave)
-        await carry_out(fault, self._fleet.nodes[fault.target])
+        """Injects a fault, and returns once it is over."""
+        handler = self._handlers.get(fault.kind, self._misbehave)
+        await handler(fault, self._fleet.nodes[fault.target])
 
     async def _stop_node(self, fault: Fault, node: Node) -> None:
         await node.restart(by_kill=False)
@@ -117,19 +117,19 @@
             await node.upgrade(fails=True)
 
     async def _reload(self, fault: Fault, node: Node) -> None:
-        for turn in range(2 if fault.kind == "reload twice" else 1):
-            self._fleet.configure(fault.target, (self._rng.randrange(2) + turn) % 2)
+        for reload_index in range(2 if fault.kind == "reload twice" else 1):
+            self._fleet.configure(fault.target, (self._rng.randrange(2) + reload_index) % 2)
             node.process.reload()
             await asyncio.sleep(self._rng.uniform(0, 0.4))
 
-    async def _hold_up(self, fault: Fault, node: Node) -> None:
-        await node.process.hold_up(fault.seconds)
+    async def _suspend(self, fault: Fault, node: Node) -> None:
+        await node.process.suspend(fault.seconds)
 
     async def _crowd(self, fault: Fault, node: Node) -> None:
         count = self._fleet.descriptor_limit
         await self._fleet.clients.call("crowd", node=fault.target, count=count, seconds=fault.seconds)
 
-    async def _let_clients_leave(self, fault: Fault, node: Node) -> None:
+    async def _disconnect_clients(self, fault: Fault, node: Node) -> None:
         await self._fleet.clients.call("leave", node=fault.target)
 
     async def _silence_discovery(self, fault: Fault, node: Node) -> None:
@@ -141,9 +141,9 @@
         await asyncio.sleep(fault.seconds)
         for discovery in self._fleet.discoveries:
             discovery.resume()
-        self.silences.append((began_at, time.monotonic()))
+        self.discovery_outages.append((began_at, time.monotonic()))
 
-    async def _cut_discovery(self, fault: Fault, node: Node) -> None:
+    async def _abort_watches(self, fault: Fault, node: Node) -> None:
         for discovery in self._fleet.discoveries:
             discovery.abort_watches()
 
@@ -155,7 +155,7 @@
         await asyncio.sleep(fault.seconds)
         for discovery in self._fleet.discoveries:
             discovery.capacity = 0.0
-        self.silences.append((began_at, time.monotonic()))
+        self.discovery_outages.append((began_at, time.monotonic()))
 
     async def _silence_counter(self, fault: Fault, node: Node) -> None:
         for counter in self._fleet.counters:
@@ -164,12 +164,12 @@
         for counter in self._fleet.counters:
             counter.is_silent = False
 
-    async def _cut_counter(self, fault: Fault, node: Node) -> None:
+    async def _abort_counter_connections(self, fault: Fault, node: Node) -> None:
         for counter in self._fleet.counters:
-            for caller in list(counter.connections):
-                caller.transport.abort()
+            for connection in list(counter.connections):
+                connection.transport.abort()
 
-    async def _spoil_counter(self, fault: Fault, node: Node) -> None:
+    async def _return_malformed_counts(self, fault: Fault, node: Node) -> None:
         for counter in self._fleet.counters:
             counter.malformed_fraction = self._rng.choice((0.05, 0.5))
         await asyncio.sleep(fault.seconds)
@@ -186,7 +186,7 @@
         failing = self._rng.choice(FAILING_CALLS)
         node.faults.set(failing.call, failing.error, failing.every)
         await asyncio.sleep(fault.seconds)
-        with contextlib.suppress(ValueError):  # the run has ended
+        with contextlib.suppress(ValueError):  # the run has ended, and the control file is unmapped
             node.faults.set(failing.call, SHORT_TRANSFER, 0)
 
     async def _step_wall_clock(self, fault: Fault, node: Node) -> None:
@@ -199,7 +199,7 @@
         await node.process.call(f"/control/backends/{name}/online")
 
     async def _misbehave(self, fault: Fault, node: Node) -> None:
-        """An eighth of the endpoints answer in the way that the fault names, for a while."""
+        """Lets an eighth of the endpoints answer with the fault's behaviour for its duration."""
         behaviour = fault.kind.removeprefix("backend ")
         names = self._fleet.endpoints.sample(self._rng, 8)
         fraction = 1.0 if behaviour in ("down", "hang") else self._rng.choice((0.1, 0.5, 1.0))
@@ -208,7 +208,7 @@
             await self._fleet.backends.call("behave", address=host, kind=behaviour, fraction=fraction)
         await asyncio.sleep(fault.seconds)
         for host in hosts:
-            await self._fleet.backends.call("behave", address=host, kind=SOUND, fraction=1.0)
+            await self._fleet.backends.call("behave", address=host, kind=NORMAL, fraction=1.0)
 
     async def _drain_endpoints(self, fault: Fault, node: Node) -> None:
         names = self._fleet.endpoints.sample(self._rng, 6)
--- a/ingress_testbed/soak/fault_plan.py
+++ b/ingress_testbed/soak/fault_plan.py
@@ -1,4 +1,4 @@
-"""The faults of a run: drawn from its seed, and spread so that two or three overlap at most moments."""
+"""The faults of a run: drawn from its seed, and spaced so that two or three overlap most of the time."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from ingress_testbed.soak.records import Fault
 
-QUIET_START = 2.0  # s at the beginning without faults
-QUIET_END = 4.0  # s at the end without new ones
+QUIET_START = 2.0  # s at the beginning of a run without faults
+QUIET_END = 4.0  # s at the end of a run without new faults
 
 
 class FaultKind(NamedTuple):
     """How often a kind of fault is drawn, and how long it lasts."""
 
     weight: float
-    shortest: float  # s; 0: it is a moment's work
+    shortest: float  # s; 0: the fault has no duration
     longest: float  # s
 
 
@@ -57,13 +57,13 @@
 
 
 def draw_faults(rng: random.Random, seconds: float, nodes: int, gap: float) -> list[Fault]:
-    """Returns the faults of a run of `seconds`, in the order of their beginnings.
+    """Returns the faults of a run, ordered by their start.
 
     Args:
-        rng: The order of draws is part of a seed's meaning.
-        seconds: How long the run's clients come.
-        nodes: How many ingresses there are.
-        gap: s from one fault to the next, in the mean.
+        rng: A seed reproduces a run only while the order of the draws stays the same.
+        seconds: How long clients are started.
+        nodes: Number of ingresses.
+        gap: Mean time in s from the start of one fault to the next.
     """
     faults = []
     names = list(KINDS)
--- a/ingress_testbed/soak/run.py
+++ b/ingress_testbed/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: starts everything, injects the faults in their time, and gathers what was recorded."""
+"""One run: starts all processes, injects the faults when they are due, and collects the records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 import msgspec
 
 from ingress_testbed.faults import build
-from ingress_testbed.soak.discovery import NodeDiscovery, agent
+from ingress_testbed.soak.discovery import NodeDiscovery, agent_address
 from ingress_testbed.soak.endpoints import EndpointTable
 from ingress_testbed.soak.fault_injector import FaultInjector
 from ingress_testbed.soak.fault_plan import draw_faults
@@ -26,31 +26,31 @@
 from ingress_testbed.standins.counter import CounterServer
 from ingress_testbed.worker import PROJECT_ROOT, Worker
 
-SETTLE_TIME = 3.5  # s after the last client, in which all that is left has to end
-LAG_INTERVAL = 0.02  # s between looks how late this process is
-MEMORY_MB = 96  # of each ingress
+SETTLE_TIME = 3.5  # s after the last client in which the remaining requests have to end
+LAG_INTERVAL = 0.02  # s between measurements of the event loop's delay
+MEMORY_MB = 96  # memory limit of each ingress
 
 
 @dataclass(frozen=True, slots=True)
 class RunSize:
-    """How large a run is."""
+    """The size of a run."""
 
     seconds: float = 30.0
     nodes: int = 12
     backends: int = 24
     rate: float = 250.0  # requests a second
-    gap: float = 0.3  # s between faults, in the mean
+    gap: float = 0.3  # mean time in s between faults
 
 
 class Soak:
-    """A run from its start to its records.
+    """A run, from its start to the collection of its records.
 
     Attributes:
-        problems: Errors of the run itself, not of the program under test.
+        problems: Errors of the test itself, not of the program under test.
     """
 
     def __init__(self, seed: int, size: RunSize, folder: Path) -> None:
-        """Draws the settings and the faults; what is started keeps its files in `folder`."""
+        """Draws the settings and the faults. The files of all processes go into `folder`."""
         self._seed = seed
         self._size = size
         self._folder = folder
@@ -71,7 +71,7 @@
         self.endpoints: EndpointTable
 
     async def play(self) -> Run:
-        """Returns what was recorded. All that was started has ended then."""
+        """Returns the records, after all processes that were started have ended."""
         try:
             return await self._play()
         finally:
@@ -83,44 +83,44 @@
     async def _play(self) -> Run:
         await self._start()
         began_at = time.monotonic()
-        watching = asyncio.get_running_loop().create_task(self._watch_lag())
+        lag_task = asyncio.get_running_loop().create_task(self._measure_lag())
         await self.clients.call("begin", rate=self._size.rate, seconds=self._size.seconds)
         for fault in self._faults:
             await asyncio.sleep(max(0.0, began_at + fault.at - time.monotonic()))
             self._spawn(self._injector.inject(fault))
-        asked = await self.clients.call("result")
+        client_result = await self.clients.call("result")
         while self._tasks:
             await asyncio.wait(self._tasks)
         await asyncio.sleep(SETTLE_TIME)
         for node in self.nodes:
             node.process.record_resources()
-        await asyncio.gather(*(node.end() for node in self.nodes))
-        watching.cancel()
-        served = await self.backends.call("result")
-        return self._records(began_at, asked, served)
+        await asyncio.gather(*(node.shut_down() for node in self.nodes))
+        lag_task.cancel()
+        backend_result = await self.backends.call("result")
+        return self._collect(began_at, client_result, backend_result)
 
-    def _records(self, began_at: float, asked: dict[str, Any], served: dict[str, Any]) -> Run:
+    def _collect(self, began_at: float, client_result: dict[str, Any], backend_result: dict[str, Any]) -> Run:
         return Run(
             seed=self._seed,
             began_at=began_at,
-            window=self._setup.window,
+            dedup_window=self._setup.dedup_window,
             may_hedge=self._setup.may_hedge,
             faults=self._faults,
-            calls=msgspec.convert(asked["calls"], list[Call]),
-            arrivals=msgspec.convert(served["arrivals"], list[Arrival]),
-            bad_peers=msgspec.convert(asked["bad_peers"], list[BadPeer]),
+            calls=msgspec.convert(client_result["calls"], list[Call]),
+            arrivals=msgspec.convert(backend_result["arrivals"], list[Arrival]),
+            bad_peers=msgspec.convert(client_result["bad_peers"], list[BadPeer]),
             withdrawals=self.discoveries[0].withdrawals,
-            written=[written for discovery in self.discoveries for written in discovery.written],
-            silences=self._injector.silences,
-            lives=[life for node in self.nodes for life in node.lives],
-            lag={"clients": asked["lag"], "backends": served["lag"], "run": self._lag},
+            list_writes=[write for discovery in self.discoveries for write in discovery.list_writes],
+            discovery_outages=self._injector.discovery_outages,
+            process_records=[record for node in self.nodes for record in node.process_records],
+            lag={"clients": client_result["lag"], "backends": backend_result["lag"], "run": self._lag},
         )
 
     async def _start(self) -> None:
         self.backends = await self._worker("ingress_testbed.soak.backends:Host")
-        port = int(await self.backends.call("start", seed=self._seed, idle=self._setup.idle))
+        port = int(await self.backends.call("start", seed=self._seed, idle=self._setup.idle_timeout))
         self.endpoints = EndpointTable(self._size.backends, port)
-        for _ in range(2):  # a reload goes from one to the other
+        for _ in range(2):  # a reload moves a node from one to the other
             self.discoveries.append(NodeDiscovery(self.endpoints.entries))
             self.counters.append(CounterServer())
         for discovery in self.discoveries:
@@ -140,22 +140,22 @@
         self._workers.append(worker)
         return worker
 
-    def configure(self, number: int, which: int) -> None:
-        """Writes a node's configuration with discovery and counter number `which`."""
+    def configure(self, number: int, stand_in_index: int) -> None:
+        """Writes a node's configuration, with discovery and counter number `stand_in_index`."""
         known = {"index": 1, "snapshot": True, "endpoints": self.endpoints.entries}
         self.nodes[number].configure(
             {
                 "name": f"n{number}",
                 "seed": f"{self._rng.getrandbits(60):x}",
-                "discovery": agent(number, self.discoveries[which].port),
-                "counter": f"127.9.1.{number + 1}:{self.counters[which].port}",
+                "discovery": agent_address(number, self.discoveries[stand_in_index].port),
+                "counter": f"127.9.1.{number + 1}:{self.counters[stand_in_index].port}",
                 "known": known,
                 "limits": {"sockets": self._setup.sockets, "memory_mb": MEMORY_MB},
                 "settings": self._setup.settings(number),
             }
         )
 
-    async def _watch_lag(self) -> None:
+    async def _measure_lag(self) -> None:
         while True:
             due = time.monotonic() + LAG_INTERVAL
             await asyncio.sleep(LAG_INTERVAL)
@@ -164,18 +164,18 @@
     def _spawn(self, fault: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(fault)
         self._tasks.add(task)
-        task.add_done_callback(self._on_fault_over)
+        task.add_done_callback(self._on_fault_done)
 
-    def _on_fault_over(self, task: asyncio.Task[None]) -> None:
+    def _on_fault_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if error := task.exception():
             self.problems.append(f"{type(error).__name__}: {error}")
 
 
 async def play(seed: int, size: RunSize) -> tuple[Run, list[str]]:
-    """Returns what was recorded, and the problems of the run itself.
+    """Returns the records of a run, and the errors of the test itself.
 
-    SIGTERM ends the run with all that it has started.
+    SIGTERM ends the run and all processes that it has started.
     """
     task = asyncio.current_task()
     assert task
