--- a/ingress_testbed/faults/__init__.py
+++ b/ingress_testbed/faults/__init__.py
@@ -1,7 +1,7 @@
-"""Makes system calls of one process fail now and then, and shifts its wall clock, by a preloaded library.
+"""Makes some system calls of one process fail, and shifts its wall clock, with a preloaded library.
 
-The library is compiled from `faults.c` beside this file with the machine's C compiler. It acts on the process
-that it is loaded into and on nothing else.
+The library is compiled with the machine's C compiler from `faults.c` in this folder. It affects only the
+process that it is loaded into.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).parent / "faults.c"
-RULE = struct.Struct("<iiqq")  # error, every, calls, failed
-SHIFT = struct.Struct("<q")
-SHORT_TRANSFER = 0  # in place of an errno: the call moves one byte only
+RULE = struct.Struct("<iiqq")  # `struct rule` in faults.c: error, every, calls, failed
+SHIFT = struct.Struct("<q")  # ns
+SHORT_TRANSFER = 0  # in place of an errno: the call transfers only one byte
 
 
 class SystemCall(IntEnum):
-    """In the order of `enum call` in faults.c."""
+    """The system calls that can fail, in the order of `enum call` in faults.c."""
 
     ACCEPT = 0
     CONNECT = 1
@@ -38,30 +38,30 @@
 
 
 def build(folder: Path) -> Path:
-    """Compiles the library into `folder`, unless it is there already, and returns its path.
+    """Compiles the library into `folder`, unless the folder has it already, and returns its path.
 
     Raises:
-        FaultsError: There is no C compiler, or it fails.
+        FaultsError: There is no C compiler, or the compilation failed.
     """
     library = folder / "faults.so"
     if not library.exists():
-        made = folder / f"faults-{os.getpid()}.so"
-        command = ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(made), str(SOURCE), "-ldl"]
+        temporary_path = folder / f"faults-{os.getpid()}.so"
+        command = ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(temporary_path), str(SOURCE), "-ldl"]
         try:
-            done = subprocess.run(command, capture_output=True, text=True, check=False)
+            result = subprocess.run(command, capture_output=True, text=True, check=False)
         except OSError as error:
-            raise FaultsError(f"no C compiler: {error}") from None
-        if done.returncode:
-            raise FaultsError(done.stderr)
-        made.rename(library)
+            raise FaultsError(f"cannot run the C compiler cc: {error}") from None
+        if result.returncode:
+            raise FaultsError(f"cc failed on {SOURCE}: {result.stderr}")
+        temporary_path.rename(library)
     return library
 
 
 class Faults:
-    """The faults of one process. They can be changed while it runs."""
+    """The faults of one process, which can be changed while the process runs."""
 
     def __init__(self, library: Path, control: Path) -> None:
-        """`control` is a file that is made for it; the process maps it, too."""
+        """Creates the file `control`, which this object and the process both map into memory."""
         self._library = library
         self._path = control
         size = SHIFT.size + RULE.size * len(SystemCall)
@@ -70,30 +70,30 @@
             self._control = mmap.mmap(file.fileno(), size)
 
     def environment(self) -> dict[str, str]:
-        """Returns what the process has to be started with."""
+        """Returns the environment variables that the process has to be started with."""
         return {"LD_PRELOAD": str(self._library), "FAULTS_FILE": str(self._path)}
 
     def set(self, call: SystemCall, error: int, every: int) -> None:
-        """Lets each `every`-th call fail with `error`, an errno or SHORT_TRANSFER; 0 for none."""
-        RULE.pack_into(self._control, self._at(call), error, every, 0, 0)
+        """Makes each `every`-th call fail with `error`, an errno or SHORT_TRANSFER. `every` 0: none fails."""
+        RULE.pack_into(self._control, self._rule_offset(call), error, every, 0, 0)
 
     def clear(self) -> None:
-        """No call fails from now on; the wall clock stays shifted."""
+        """Stops all failures of calls; the wall clock stays shifted."""
         for call in SystemCall:
             self.set(call, SHORT_TRANSFER, 0)
 
     def failure_count(self, call: SystemCall) -> int:
-        """Returns how often the call has failed since it was set."""
-        return int(RULE.unpack_from(self._control, self._at(call))[3])
+        """Returns how often the call has failed since its rule was last set."""
+        return int(RULE.unpack_from(self._control, self._rule_offset(call))[3])
 
     def shift_wall_clock(self, seconds: float) -> None:
-        """Lets the process's wall clock be off by so much from now on."""
+        """Shifts the wall clock that the process reads by `seconds` from the real one."""
         SHIFT.pack_into(self._control, 0, round(seconds * 1e9))
 
     def close(self) -> None:
-        """Ends the mapping; the faults stay as they are."""
+        """Unmaps the control file; the faults stay as they are."""
         self._control.close()
 
     @staticmethod
-    def _at(call: SystemCall) -> int:
+    def _rule_offset(call: SystemCall) -> int:
         return SHIFT.size + RULE.size * call
--- a/ingress_testbed/standins/__init__.py
+++ b/ingress_testbed/standins/__init__.py
@@ -1,4 +1,4 @@
 """Stand-ins for the services that an ingress depends on: discovery, the counter, backends.
 
-They keep the protocol page and listen on loopback only.
+They follow the documented protocols and listen on loopback only.
 """
--- a/ingress_testbed/standins/backend.py
+++ b/ingress_testbed/standins/backend.py
@@ -1,4 +1,4 @@
-"""Backends: HTTP/1.1 on every loopback address at one port, as many backends as addresses."""
+"""Backends: HTTP/1.1 servers on every loopback address at one port; each address is one backend."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class BackendServer(Server):
-    """All backends, told apart by the address that is called.
+    """All backends, distinguished by the address that a connection calls.
 
     Attributes:
         served: Requests answered with 200.
-        opened: Connections that were made.
+        opened: Connections accepted so far.
         rejected: Requests rejected as not started.
-        open_by_address: Open connections.
-        max_open: The most connections that one address had open.
-        in_flight_by_address: Requests whose answer is to come.
+        open_by_address: Number of open connections, by address.
+        max_open: The highest number of connections that one address has had open.
+        in_flight_by_address: Number of requests that have not been answered yet, by address.
         connections: Open connections of all addresses.
     """
 
     def __init__(self, work: float = 0.0, max_in_flight: int = 0, idle_timeout: float = 10.0) -> None:
-        """Listens nowhere before `start`.
+        """Creates a server that listens once `start` has been called.
 
         Args:
             work: Seconds from a request's last byte to its answer.
-            max_in_flight: Requests that one address takes at a time; 0 for any number.
+            max_in_flight: Requests that one address serves at a time; 0 for any number.
             idle_timeout: Seconds after which an idle connection is closed.
         """
         self.work = work
@@ -47,12 +47,12 @@
         self.connections: set[BackendConnection] = set()
 
     async def start(self) -> None:
-        """Listens, and closes idle connections."""
+        """Starts to listen, and to close idle connections."""
         await self.serve(lambda: BackendConnection(self))
         self.every(SWEEP_INTERVAL, self._close_idle)
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Stops listening, and aborts all connections."""
         self.end(self.connections)
 
     def _close_idle(self) -> None:
@@ -66,12 +66,12 @@
     """A connection to one backend, which serves one request at a time.
 
     Attributes:
-        address: The backend's.
+        address: The address of the backend.
         idle_since: Seconds of the loop's clock; infinity while a request is in flight.
     """
 
     def __init__(self, server: BackendServer) -> None:
-        """Counts at `server`."""
+        """Updates the counts of `server`."""
         self.address = ""
         self.idle_since = asyncio.get_running_loop().time()
         self._server = server
@@ -95,7 +95,7 @@
         self._server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Takes a request once it is complete."""
+        """Handles a request once it is complete."""
         self._unread += data
         head, separator, rest = self._unread.partition(b"\r\n\r\n")
         if not separator or self._is_busy:
@@ -103,9 +103,9 @@
         length = _content_length(head)
         if len(rest) >= length:
             self._unread = rest[length:]
-            self._take(head)
+            self._handle_request(head)
 
-    def _take(self, head: bytes) -> None:
+    def _handle_request(self, head: bytes) -> None:
         server = self._server
         in_flight = server.in_flight_by_address[self.address]
         if head.startswith(b"GET /alive "):
--- a/ingress_testbed/standins/counter.py
+++ b/ingress_testbed/standins/counter.py
@@ -1,4 +1,4 @@
-"""The counter: totals by name that expire, partitions with a capacity each, a queue, faults."""
+"""The counter: expiring totals by name, in partitions of limited capacity, with a queue and faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from ingress_testbed.standins.sockets import Connection, Server
 
-MAX_CONNECTIONS = 32  # of one caller's address to one of the counter's: further ones are reset
+MAX_CONNECTIONS = 32  # from one caller's address to one address of the counter; more are reset
 IDLE_TIMEOUT = 10.0  # s
 SWEEP_INTERVAL = 1.0  # s
 MAX_TTL_MS = 60_000
@@ -26,7 +26,7 @@
 
 
 class InvalidCallError(ValueError):
-    """A line is no call of the protocol."""
+    """A line is not a valid call of the protocol."""
 
 
 class AddCall(NamedTuple):
@@ -38,25 +38,25 @@
 
 
 class Answer(NamedTuple):
-    """An answer, and the moment of the loop's clock at which it is due."""
+    """An answer, and the time of the event loop's clock at which it is due."""
 
     line: bytes
     due: float
 
 
 class Total(NamedTuple):
-    """A name's total, and the moment of the loop's clock at which the name expires."""
+    """A name's total, and the time of the event loop's clock at which the name expires."""
 
     value: float
     expires_at: float
 
 
 class Partition:
-    """Some of the names, with a capacity of its own.
+    """A part of the names, with a separate capacity.
 
     Attributes:
-        totals: By name.
-        free_at: When the last call that was accepted has been answered.
+        totals: Totals by name.
+        free_at: When the last accepted call will have been answered.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self.free_at = 0.0
 
     def add(self, call: AddCall, now: float) -> float:
-        """Returns the new total. A name lives from the call that made it; an expired one begins anew."""
+        """Returns the new total. The TTL runs from the call that made the name; an expired one restarts."""
         total = self.totals.get(call.name)
         if total is None or now >= total.expires_at:
             total = Total(0.0, now + call.ttl)
@@ -78,25 +78,25 @@
 
 
 class CounterServer(Server):
-    """The counter.
+    """The counter's server.
 
     Attributes:
-        partitions: The parts of the names.
+        partitions: The partitions of the names.
         capacity: Calls a second that one partition answers; 0 for any number.
         max_queue_time: Seconds; a call that would wait longer for its turn is rejected with `busy`.
         connections: Open connections.
-        connections_by_address: Their number, by the caller's address and the counter's own.
+        connections_by_address: Number of open connections by the caller's and the counter's address.
         is_silent: Whether it reads calls and answers none.
-        malformed_fraction: Part of the answers that hold no number.
-        add_count: Additions made.
+        malformed_fraction: Fraction of the answers that hold no number.
+        add_count: Additions carried out.
         ping_count: Pings answered.
-        busy_count: Calls rejected.
-        reset_count: Connections reset as too many.
-        bytes_received: Of all calls.
+        busy_count: Calls rejected with `busy`.
+        reset_count: Connections reset because the caller had too many.
+        bytes_received: Bytes of all calls.
     """
 
     def __init__(self, partitions: int = 1, capacity: float = 0.0, max_queue_time: float = 0.1) -> None:
-        """Listens nowhere before `start`."""
+        """Creates a server that listens once `start` has been called."""
         self.partitions = [Partition() for _ in range(partitions)]
         self.capacity = capacity
         self.max_queue_time = max_queue_time
@@ -112,16 +112,16 @@
         self._rng = random.Random(RANDOM_SEED)
 
     async def start(self) -> None:
-        """Listens, and drops expired names and idle connections."""
+        """Starts to listen, to drop expired names and to close idle connections."""
         await self.serve(lambda: CounterConnection(self))
         self.every(SWEEP_INTERVAL, self._sweep)
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Stops listening, and aborts all connections."""
         self.end(self.connections)
 
     def answer(self, line: bytes, now: float) -> Answer:
-        """Carries out one call, without its line's end."""
+        """Carries out one call, given as a line without its CRLF."""
         if line == b"ping":
             self.ping_count += 1
             return Answer(PONG, now)
@@ -161,7 +161,7 @@
         raise InvalidCallError(str(error)) from None
     is_valid_name = 0 < len(name) <= MAX_NAME_LENGTH
     if verb != b"add" or not is_valid_name or ttl_ms < 1 or not abs(amount) <= MAX_AMOUNT:
-        raise InvalidCallError("a value is out of range")
+        raise InvalidCallError("not an `add` call with name, amount and TTL in their ranges")
     return AddCall(name, amount, min(ttl_ms, MAX_TTL_MS) / 1000)
 
 
@@ -169,11 +169,11 @@
     """A connection of one caller, whose calls are answered in their order.
 
     Attributes:
-        last_read_at: Seconds of the loop's clock.
+        last_read_at: When data last arrived, in seconds of the event loop's clock.
     """
 
     def __init__(self, server: CounterServer) -> None:
-        """Has `server` carry out the calls."""
+        """Passes the calls to `server`."""
         self._server = server
         self._loop = asyncio.get_running_loop()
         self.last_read_at = self._loop.time()
@@ -181,14 +181,14 @@
         self._addresses = ("", "")
         self._partial_line = b""
         self._last_due = 0.0
-        self._delayed: deque[bytes] = deque()  # answers by their order: timers of one moment fire in any
+        self._delayed: deque[bytes] = deque()  # in call order: timers due together fire in any
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Counts the connection, or resets it if the caller has too many."""
         super().connection_made(transport)
-        peer = self.transport.get_extra_info("peername")[0]
-        own = self.transport.get_extra_info("sockname")[0]
-        self._addresses = (peer, own)
+        peer_address = self.transport.get_extra_info("peername")[0]
+        local_address = self.transport.get_extra_info("sockname")[0]
+        self._addresses = (peer_address, local_address)
         if self._server.connections_by_address[self._addresses] >= MAX_CONNECTIONS:
             self._server.reset_count += 1
             self.transport.abort()
@@ -204,7 +204,7 @@
             self._server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answers the calls, at once or when they are due."""
+        """Answers the complete calls, at once or when the answers are due."""
         self._server.bytes_received += len(data)
         *lines, self._partial_line = (self._partial_line + data).split(b"\r\n")
         now = self._loop.time()
--- a/ingress_testbed/standins/discovery.py
+++ b/ingress_testbed/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: snapshots, watches with a line a change and heartbeats, a capacity, faults."""
+"""Discovery: snapshots, watches with one line for each change and heartbeats, limited capacity, faults."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 LIST_PATH = "/discovery/hosts"
 HEARTBEAT_INTERVAL = 2.0  # s
 HEARTBEAT = b"\n"
-MAX_CHANGES = 1000  # from which a watch may resume; older versions get a snapshot
-MAX_BURST = 0.1  # s of the capacity, and at least one call
+MAX_CHANGES = 1000  # kept for watches that resume; a watch from an older version gets a snapshot
+MAX_BURST = 0.1  # s of the capacity that may accumulate, but at least one call
 UNKNOWN_VERSION = "-1"
 
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-SNAPSHOT_MARK = b'"snapshot":true'  # stands at the beginning of a snapshot's line
+SNAPSHOT_MARK = b'"snapshot":true'  # within the first SNAPSHOT_MARK_END bytes of a snapshot's line
 SNAPSHOT_MARK_END = 100  # bytes
 
 
 class Change(NamedTuple):
-    """A change of the list, as a line of a watch."""
+    """A change of the list, encoded as a line of a watch."""
 
     version: int
     line: bytes
@@ -45,20 +45,20 @@
     """Discovery, or one agent of it.
 
     Attributes:
-        entries: The list, by the endpoint's name.
-        version: Its version.
-        capacity: Calls answered a second, 0 for any number; a further one is rejected with 503.
-        watches: The calls that stay open.
-        is_silent: Whether it answers nothing, and sends open watches no line.
-        bytes_sent: All answers.
-        lines_sent: Changes, once for each watch.
-        snapshots_sent: Whole lists.
-        call_count: Calls.
-        rejected_calls: Calls rejected for want of capacity.
+        entries: The endpoint list, by the endpoint's name.
+        version: The version of the list.
+        capacity: Calls answered a second, 0 for any number; calls beyond it are rejected with 503.
+        watches: The open watches.
+        is_silent: Whether discovery answers no call, and sends nothing to open watches.
+        bytes_sent: Bytes of all answers and watches.
+        lines_sent: Lines with a change, counted once for each watch.
+        snapshots_sent: Snapshots sent.
+        call_count: Calls received.
+        rejected_calls: Calls rejected because the capacity was exceeded.
     """
 
     def __init__(self, entries: list[dict[str, Any]], version: int = 1, capacity: float = 0.0) -> None:
-        """Listens nowhere before `start`."""
+        """Creates a server that listens once `start` has been called."""
         self.entries = {entry["name"]: entry for entry in entries}
         self.version = version
         self.capacity = capacity
@@ -69,19 +69,19 @@
         self.snapshots_sent = 0
         self.call_count = 0
         self.rejected_calls = 0
-        self._allowance = 0.0  # calls that may be answered at once
+        self._allowance = 0.0  # token bucket of calls that may be answered now
         self._allowance_at = 0.0
         self._changes: deque[Change] = deque(maxlen=MAX_CHANGES)
-        self._snapshot: bytes | None = None  # cached: callers are many, changes few
-        self._missed_lines: list[bytes] = []  # while silent
+        self._snapshot: bytes | None = None  # cached, as there are many callers and few changes
+        self._missed_lines: list[bytes] = []  # changes made while discovery is silent
 
     async def start(self) -> None:
-        """Listens, and sends heartbeats."""
+        """Starts to listen, and to send heartbeats."""
         await self.serve(lambda: DiscoveryConnection(self))
         self.every(HEARTBEAT_INTERVAL, self._send_heartbeat)
 
     def stop(self) -> None:
-        """Ends all watches."""
+        """Stops listening, and aborts all watches."""
         self.end(self.watches)
 
     def snapshot(self) -> bytes:
@@ -92,7 +92,7 @@
         return self._snapshot
 
     def apply_change(self, entries: list[dict[str, Any]]) -> int:
-        """Takes the entries in and sends them to every watch, in one line. Returns the new version."""
+        """Updates the list and sends the entries to every watch, in one line. Returns the new version."""
         self.version += 1
         for entry in entries:
             if entry["status"] == "removed":
@@ -109,23 +109,23 @@
         return self.version
 
     def fall_silent(self) -> None:
-        """Answers nothing from now on; connections stay open."""
+        """Stops answering calls and sending lines; connections stay open."""
         self.is_silent = True
 
     def resume(self) -> None:
-        """Ends a silence: open watches get what they missed."""
+        """Resumes after `fall_silent`: open watches get the changes that they missed."""
         self.is_silent = False
         for line in self._missed_lines:
             self._broadcast(line)
         self._missed_lines.clear()
 
     def abort_watches(self) -> None:
-        """Ends all watches at once, as after a restart of discovery."""
+        """Aborts all watches at once, as a restart of discovery does."""
         for watch in list(self.watches):
             watch.transport.abort()
 
     def lines_since(self, version: int) -> bytes:
-        """Returns the lines after `version`, or else a snapshot as one."""
+        """Returns the changes since `version` as lines, or a snapshot if not all of them are kept."""
         if version == self.version:
             return b""
         lines = [change.line for change in self._changes if change.version > version]
@@ -134,7 +134,7 @@
         return self.snapshot() + b"\n"
 
     def admit_call(self) -> bool:
-        """Returns whether the capacity allows a further call, and counts it if so."""
+        """Returns whether the capacity allows another call, and deducts the call if so."""
         if not self.capacity:
             return True
         now = asyncio.get_running_loop().time()
@@ -162,15 +162,15 @@
 
 
 class DiscoveryConnection(Connection):
-    """A connection of one caller; a watch from the moment at which one was asked for."""
+    """A connection of one caller, which becomes a watch once the caller has requested one."""
 
     def __init__(self, server: DiscoveryServer) -> None:
-        """Answers from the list of `server`."""
+        """Answers calls from the list of `server`."""
         self._server = server
         self._unread = b""
 
     def data_received(self, data: bytes) -> None:
-        """Answers each call, unless discovery is silent."""
+        """Answers each complete call, unless discovery is silent."""
         self._unread += data
         while b"\r\n\r\n" in self._unread:
             head, _, self._unread = self._unread.partition(b"\r\n\r\n")
@@ -178,7 +178,7 @@
                 self._answer(head.split(b" ")[1].decode())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the watch."""
+        """Removes the connection from the watches."""
         self._server.watches.discard(self)
 
     def _answer(self, target: str) -> None:
--- a/ingress_testbed/standins/sockets.py
+++ b/ingress_testbed/standins/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets that only this machine reaches, and what the stand-ins' protocols share."""
+"""Listening sockets on loopback only, and base classes of the stand-ins' servers and connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def bind_all_loopback_addresses() -> socket.socket:
-    """Returns a socket at a free port of every loopback address (127.0.0.0/8), and of no other device."""
+    """Returns a socket bound to a free port of every loopback address (127.0.0.0/8), on no other device."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
@@ -23,7 +23,7 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Ends the connection by a reset, whatever is unread or unsent."""
+    """Resets the connection and discards unread and unsent data."""
     if not transport.is_closing():
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -34,13 +34,13 @@
     """A connection to a stand-in.
 
     Attributes:
-        transport: The connection, once it is up.
+        transport: The connection's transport, once it is established.
     """
 
     transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
 
 
@@ -48,7 +48,7 @@
     """A stand-in's listener.
 
     Attributes:
-        port: Where it listens, once it has been started.
+        port: The port that it listens on; 0 before it is started.
     """
 
     port: int = 0
@@ -63,7 +63,7 @@
         self._server = await loop.create_server(make_protocol, sock=sock, backlog=BACKLOG)
 
     def every(self, seconds: float, run: Callable[[], None]) -> None:
-        """Calls `run` now, and then each so many seconds until the end; one such task a stand-in."""
+        """Calls `run` now and then every `seconds` until `end`; a stand-in may have one such task."""
         run()
         self._timer = asyncio.get_running_loop().call_later(seconds, self.every, seconds, run)
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins for discovery, the counter and backends keep the protocol page."""
+"""The stand-ins for discovery, the counter and backends follow the documented protocols."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 async def next_list(caller: Caller) -> Any:
-    """The next chunk that is no heartbeat."""
+    """Returns the next chunk that is not a heartbeat."""
     while True:
         size = int(await caller.until(b"\r\n"), 16)
         data = (await caller.until(b"\r\n"))[:-2] if size else b""
@@ -80,7 +80,7 @@
         assert line["snapshot"] and line["index"] == 5
 
 
-async def test_a_watch_gets_heartbeats_and_while_discovery_is_silent_nothing(
+async def test_a_watch_gets_heartbeats_but_nothing_while_discovery_is_silent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery_module, "HEARTBEAT_INTERVAL", 0.02)
@@ -115,14 +115,15 @@
         answers = await caller.request(calls, b"error\r\nerror\r\n")
         assert answers == b"ok 2.5\r\nok 1\r\nok 2\r\npong\r\nerror\r\nerror\r\n"
         await asyncio.sleep(0.08)
-        assert await caller.request(b"add a 1 1000\r\nadd b 0 1\r\n", b"ok 1\r\nok 1\r\n")  # `a` began anew
+        # `a` has expired and starts again at 0.
+        assert await caller.request(b"add a 1 1000\r\nadd b 0 1\r\n", b"ok 1\r\nok 1\r\n")
         assert (counter.add_count, counter.ping_count) == (5, 1)
 
 
-async def test_a_counter_at_capacity_answers_in_order_and_rejects_what_would_wait_too_long() -> None:
+async def test_a_counter_at_capacity_answers_in_order_and_rejects_calls_that_would_queue_too_long() -> None:
     async with serving(CounterServer(capacity=50.0, max_queue_time=0.05)) as counter:
         loop, caller = asyncio.get_running_loop(), await connect(counter)
-        began = loop.time()  # the stand-in's own clock: it goes by whole milliseconds
+        began = loop.time()  # the clock that the stand-in uses, with a resolution of 1 ms
         answers = await caller.request(b"add n 1 1000\r\n" * 5 + b"ping\r\n", b"pong\r\n")
         assert answers == b"ok 1\r\nok 2\r\n" + b"busy\r\n" * 3 + b"pong\r\n"
         assert round(loop.time() - began, 6) >= 0.04
@@ -135,25 +136,26 @@
     async with serving(CounterServer()) as counter:
         callers = [await connect(counter) for _ in range(32)]
         assert await callers[31].request(b"ping\r\n", b"pong\r\n")
-        other = await connect(counter, "127.3.3.3")  # another ingress, to the counter
+        # The limit holds for a pair of addresses: the counter takes this connection for another ingress's.
+        other = await connect(counter, "127.3.3.3")
         assert await other.request(b"ping\r\n", b"pong\r\n")
-        over = await connect(counter)
+        excess = await connect(counter)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await over.request(b"ping\r\n", b"pong\r\n")
+            await excess.request(b"ping\r\n", b"pong\r\n")
         async with asyncio.timeout(5):
             assert await callers[0].reader.read() == b""
 
 
 async def test_many_backends_share_a_socket_and_each_counts_its_own_connections() -> None:
     async with serving(BackendServer(work=0.05, max_in_flight=1)) as backends:
-        asked = b"GET /read/x HTTP/1.1\r\nRequest-Id: a\r\n\r\n"
+        request = b"GET /read/x HTTP/1.1\r\nRequest-Id: a\r\n\r\n"
         hosts = ("127.1.0.1", "127.9.9.9", "127.1.0.1")
-        one, other, again = [await connect(backends, host) for host in hosts]
-        for caller in (one, other):
-            caller.writer.write(asked)
+        first, other, second = [await connect(backends, host) for host in hosts]
+        for caller in (first, other):
+            caller.writer.write(request)
         await asyncio.sleep(0.02)
-        assert b"Not-Started: 1" in await again.request(asked, b"\r\n\r\n")
-        for caller in (one, other):
+        assert b"Not-Started: 1" in await second.request(request, b"\r\n\r\n")
+        for caller in (first, other):
             assert (await caller.until(b"warm")).startswith(b"HTTP/1.1 200 ")
-        assert (await again.request(b"GET /x HTTP/1.1\r\n\r\n", b"\r\n\r\n")).startswith(b"HTTP/1.1 404 ")
+        assert (await second.request(b"GET /x HTTP/1.1\r\n\r\n", b"\r\n\r\n")).startswith(b"HTTP/1.1 404 ")
         assert (backends.served, backends.opened, backends.open_by_address["127.1.0.1"]) == (2, 3, 2)
