--- a/ingress_testbed/soak/clients.py
+++ b/ingress_testbed/soak/clients.py
@@ -140,7 +140,7 @@
         self._connections[node].add(connection)
         return connection
 
-    async def _connection(self, node: int) -> ClientConnection | None:
+    async def _idle_or_new_connection(self, node: int) -> ClientConnection | None:
         """Returns an idle connection, however long it has been idle, or else a new one; None if refused."""
         idle = self._idle[node]
         while idle:
@@ -194,7 +194,7 @@
     async def _send_and_retry(self, node: int) -> None:
         """Sends a request; resends it on a new connection if a close crossed it, as the protocol requires."""
         request = self._draw_request(node)
-        connection = await self._connection(node)
+        connection = await self._idle_or_new_connection(node)
         call = await self._send(request, node, connection)
         crossed = call.ending in (Ending.CLOSED, Ending.RESET) and not call.first_on_connection
         if crossed:
@@ -206,7 +206,7 @@
     async def _disconnect_early(self, node: int) -> None:
         """Closes or resets the connection after a random time if no answer has arrived by then."""
         request = self._draw_request(node)
-        connection = await self._connection(node)
+        connection = await self._idle_or_new_connection(node)
         call = self._record_call(request, node)
         if connection is None:
             end_call(call, Ending.REFUSED)
@@ -246,7 +246,7 @@
     async def _send_slowly(self, node: int) -> None:
         """Sends a request in pieces, over up to 1.5 s."""
         request = self._draw_request(node)
-        connection = await self._connection(node)
+        connection = await self._idle_or_new_connection(node)
         call = self._record_call(request, node)
         if connection is None:
             end_call(call, Ending.REFUSED)
--- a/ingress_testbed/soak/fault_injector.py
+++ b/ingress_testbed/soak/fault_injector.py
@@ -19,7 +19,7 @@
 from ingress_testbed.standins.counter import CounterServer
 from ingress_testbed.worker import Worker
 
-CLOCK_STEPS = (3.0, -3.0, 3600.0, -3600.0, 0.0)  # s by which a wall clock is stepped
+CLOCK_STEPS = (3.0, -3.0, 3600.0, -3600.0, 0.0)  # s by which a wall clock is then off the real time
 REJECTING_CAPACITY = 2.0  # calls a second that discovery still answers while it rejects callers
 
 
--- a/ingress_testbed/soak/nodes.py
+++ b/ingress_testbed/soak/nodes.py
@@ -47,8 +47,8 @@
         lines: The lines of its log that are not events.
     """
 
-    def __init__(self, process: asyncio.subprocess.Process, node: int, admin: int) -> None:
-        self.process, self.admin = process, admin
+    def __init__(self, process: asyncio.subprocess.Process, node: int, admin_port: int) -> None:
+        self.process, self.admin_port = process, admin_port
         self.record = ProcessRecord(
             node, time.monotonic(), arrived={}, ended={}, violations=[], log_excerpt=[]
         )
@@ -138,7 +138,7 @@
         """Sends a request to the operators' interface. Returns the response's status, or 0 if none came."""
 
         def send() -> int:
-            request = urllib.request.Request(f"http://{HOST}:{self.admin}{target}", method=method)
+            request = urllib.request.Request(f"http://{HOST}:{self.admin_port}{target}", method=method)
             try:
                 with urllib.request.urlopen(request, timeout=2) as answer:
                     return int(answer.status)
@@ -195,7 +195,7 @@
 
     async def start(self) -> Process:
         """Starts a process, and returns it once it listens."""
-        temporary_folder, admin = self._folder / "tmp", free_port()
+        temporary_folder, admin_port = self._folder / "tmp", free_port()
         temporary_folder.mkdir(exist_ok=True)
         inherited_env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
         env = (
@@ -204,7 +204,7 @@
             | {
                 "EDGE_CONFIG": str(self.path),
                 "EDGE_TRACE": "1",
-                "EDGE_ADMIN": f"{HOST}:{admin}",
+                "EDGE_ADMIN": f"{HOST}:{admin_port}",
                 "TMPDIR": str(temporary_folder),
                 "PYTHONDONTWRITEBYTECODE": "1",
             }
@@ -223,7 +223,7 @@
             start_new_session=True,
             limit=MAX_LINE_SIZE,
         )
-        process = Process(child, self.number, admin)
+        process = Process(child, self.number, admin_port)
         self.processes.append(process)
         async with asyncio.timeout(READY_TIMEOUT):
             await process.ready
