--- a/ingress_testbed/soak/run.py
+++ b/ingress_testbed/soak/run.py
@@ -28,7 +28,7 @@
 
 SETTLE_TIME = 3.5  # s after the last client in which the remaining requests have to end
 LAG_INTERVAL = 0.02  # s between measurements of the event loop's delay
-MEMORY_MB = 96  # memory limit of each ingress
+MEMORY_MB = 96  # memory limit of each ingress, in its configuration
 
 
 @dataclass(frozen=True, slots=True)
--- a/ingress_testbed/standins/counter.py
+++ b/ingress_testbed/standins/counter.py
@@ -86,7 +86,7 @@
         max_queue_time: Seconds; a call that would wait longer for its turn is rejected with `busy`.
         connections: Open connections.
         connections_by_address: Number of open connections by the caller's and the counter's address.
-        is_silent: Whether it reads calls and answers none.
+        is_silent: Whether the counter reads calls but answers none.
         malformed_fraction: Fraction of the answers that hold no number.
         add_count: Additions carried out.
         ping_count: Pings answered.
--- a/ingress_testbed/standins/discovery.py
+++ b/ingress_testbed/standins/discovery.py
@@ -32,12 +32,12 @@
 
 
 def encode_json(value: Any) -> bytes:
-    """Returns compact JSON."""
+    """Returns `value` as compact JSON."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 def chunk(data: bytes) -> bytes:
-    """Returns a chunk of a chunked body."""
+    """Returns `data` encoded as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
