--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 import pytest
 import pytest_asyncio
 
-from ingress_testbed.faults import SHORT, Call, Faults, build
+from ingress_testbed.faults import SHORT_TRANSFER, Faults, SystemCall, build
 from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
@@ -91,9 +91,9 @@
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
     async with Process(tmp_path, faults, backend) as process:
-        faults.set(Call.ACCEPT, error, 7)
+        faults.set(SystemCall.ACCEPT, error, 7)
         assert set(await process.send_requests(REQUEST_COUNT)) == {b"200"}
-        assert faults.failed(Call.ACCEPT) > 0
+        assert faults.failure_count(SystemCall.ACCEPT) > 0
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE], ids=errno.errorcode.get)
@@ -102,38 +102,38 @@
 ) -> None:
     async with Process(tmp_path, faults, backend) as process:
         assert set(await process.send_requests(5)) == {b"200"}
-        faults.set(Call.ACCEPT, error, 3)
+        faults.set(SystemCall.ACCEPT, error, 3)
         process.popen.send_signal(signal.SIGTERM)
         assert set(await process.send_requests(REQUEST_COUNT, first=100)) == {b"200"}
         code, errors = await process.wait_for_end()
-        assert code == 0 and "Traceback" not in errors and faults.failed(Call.ACCEPT) > 0
+        assert code == 0 and "Traceback" not in errors and faults.failure_count(SystemCall.ACCEPT) > 0
 
 
 @pytest.mark.parametrize(
     ("call", "error", "every"),
     [
-        (Call.CONNECT, errno.EADDRNOTAVAIL, 5),
-        (Call.CONNECT, errno.ENETUNREACH, 5),
-        (Call.CONNECT, errno.EINTR, 5),
-        (Call.SOCKET, errno.ENFILE, 5),
-        (Call.SOCKET, errno.ENOBUFS, 5),
-        (Call.WAIT, errno.EINTR, 3),
-        (Call.READ, SHORT, 3),
-        (Call.WRITE, SHORT, 3),
-        (Call.READ, errno.EINTR, 3),
-        (Call.WRITE, errno.EINTR, 3),
-        (Call.READ, errno.EAGAIN, 5),
-        (Call.WRITE, errno.EAGAIN, 5),
+        (SystemCall.CONNECT, errno.EADDRNOTAVAIL, 5),
+        (SystemCall.CONNECT, errno.ENETUNREACH, 5),
+        (SystemCall.CONNECT, errno.EINTR, 5),
+        (SystemCall.SOCKET, errno.ENFILE, 5),
+        (SystemCall.SOCKET, errno.ENOBUFS, 5),
+        (SystemCall.WAIT, errno.EINTR, 3),
+        (SystemCall.READ, SHORT_TRANSFER, 3),
+        (SystemCall.WRITE, SHORT_TRANSFER, 3),
+        (SystemCall.READ, errno.EINTR, 3),
+        (SystemCall.WRITE, errno.EINTR, 3),
+        (SystemCall.READ, errno.EAGAIN, 5),
+        (SystemCall.WRITE, errno.EAGAIN, 5),
     ],
 )
 async def test_other_failing_system_calls_lose_no_request(
-    tmp_path: Path, faults: Faults, backend: PeerServer, call: Call, error: int, every: int
+    tmp_path: Path, faults: Faults, backend: PeerServer, call: SystemCall, error: int, every: int
 ) -> None:
     """Each failed attempt of an idempotent request is retried, so that all requests are served."""
     async with Process(tmp_path, faults, backend) as process:
         faults.set(call, error, every)
         statuses = await process.send_requests(REQUEST_COUNT)
-        assert faults.failed(call) > 0
+        assert faults.failure_count(call) > 0
         faults.clear()
         process.popen.send_signal(signal.SIGTERM)
         code, errors = await process.wait_for_end()
@@ -154,9 +154,9 @@
     """Reads of clients' sockets fail, too, which disconnects those clients. All others are served, and no
     client gets two answers or another client's answer."""
     async with Process(tmp_path, faults, backend) as process:
-        faults.set(Call.READ, error, 11)
+        faults.set(SystemCall.READ, error, 11)
         statuses = await process.send_requests(REQUEST_COUNT)
-        failed = faults.failed(Call.READ)
+        failed = faults.failure_count(SystemCall.READ)
         assert failed > 0 and sum(status != b"200" for status in statuses) <= failed
         faults.clear()
         assert set(await process.send_requests(10, first=500)) == {b"200"}
