--- a/ingress_testbed/experiments/base.py
+++ b/ingress_testbed/experiments/base.py
@@ -1,4 +1,4 @@
-"""What an experiment is."""
+"""The definition of an experiment."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from ingress_testbed.lab import Lab
 
-UNUSED_PORT = 1  # nothing listens on it
+UNUSED_PORT = 1  # nothing listens on this port
 PROBE = "ingress_testbed.probe:Probe"
-Figures = dict[str, float]  # by name; the unit is in the name's last word, see `results`
+Figures = dict[str, float]  # by name; the last word of the name is the unit, see `results`
 
 
 class ExperimentError(RuntimeError):
-    """An ingress did not do what the experiment measures."""
+    """An ingress did not reach the state that the experiment measures."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,13 +23,13 @@
     Attributes:
         name: Its name on the command line.
         size_name: What its sizes count.
-        about: What it measures, in a few words.
-        play: Plays one size once.
-        options: Its other settings and their defaults.
+        description: What it measures, in a few words.
+        play: Runs one repetition at the given size and returns its figures.
+        options: Its options and their default values.
     """
 
     name: str
     size_name: str
-    about: str
+    description: str
     play: Callable[[Lab, int], Awaitable[Figures]]
     options: Mapping[str, float] = field(default_factory=dict)
--- a/ingress_testbed/hollow.py
+++ b/ingress_testbed/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow ingresses, many to a process: real but for clients and backends, which are not on sockets.
+"""Hollow ingresses, many to a process: clients and backends are simulated in memory, without sockets.
 
-The watch, the counter's client, the engine and the policy are the real ones: each ingress applies changes and
-paces its calls as a real one does.
+The discovery watch, the counter client, the engine and the policy are the real ones: each ingress applies
+changes of the list and paces its calls as a real one does.
 """
 
 from __future__ import annotations
@@ -33,64 +33,64 @@
 
 ATTEMPT_LATENCY = 0.005  # s
 REQUEST_TIMEOUT_US = 3_000_000
-LAST_ANSWERS_TIME = 1.0  # s after the last request
+LAST_ANSWERS_TIME = 1.0  # s to wait for answers after the last request
 
 OnResult = Callable[[AttemptResult], None]
 
 
 class HollowExchange:
-    """An attempt that no socket carries: it is served after ATTEMPT_LATENCY."""
+    """An attempt without a socket: it succeeds after ATTEMPT_LATENCY."""
 
     written = True
 
     def __init__(self, on_result: OnResult) -> None:
-        """Reports to `on_result`."""
+        """Schedules `on_result` with a result of OK."""
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(ATTEMPT_LATENCY, on_result, AttemptResult(Outcome.OK))
 
     def abort(self) -> bool:
-        """Gives the attempt up. Returns that it may have run."""
+        """Cancels the attempt; returns True, as the backend may have processed it."""
         self._timer.cancel()
         return True
 
     def withdraw(self) -> bool:
-        """Returns that the attempt has been written already."""
+        """Returns False: the attempt counts as written, so it cannot be withdrawn."""
         return False
 
 
 class HollowUpstream:
-    """Backends that serve all."""
+    """Simulated backends that answer every attempt and health check with OK."""
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None:
-        """Does nothing."""
+        """Does nothing: there are no connections to set up."""
 
     def reconcile(self, gone: Iterable[int]) -> None:
-        """Does nothing."""
+        """Does nothing: there are no connections to close."""
 
     def close_idle_connections(self, backend: int) -> None:
-        """Does nothing."""
+        """Does nothing: there are no connections to close."""
 
     def send(
         self,
         backend: int,
         head: bytes,
-        ended: OnResult,
-        once: bool = False,
+        on_ended: OnResult,
+        non_idempotent: bool = False,
         body: Body | None = None,
-        started: OnResult | None = None,
-        permit: Callable[[], bytes | None] = lambda: b"",
+        on_stream_started: OnResult | None = None,
+        authorize: Callable[[], bytes | None] = lambda: b"",
     ) -> HollowExchange:
-        """Begins an attempt at once."""
-        permit()
-        return HollowExchange(ended)
+        """Starts an attempt at once, without waiting for a connection."""
+        authorize()
+        return HollowExchange(on_ended)
 
-    def probe(self, backend: int, ended: OnResult) -> None:
-        """Answers a health check."""
-        HollowExchange(ended)
+    def probe(self, backend: int, on_ended: OnResult) -> None:
+        """Answers a health check with OK after ATTEMPT_LATENCY."""
+        HollowExchange(on_ended)
 
 
 class HollowClient:
-    """Counts what the clients of one hollow ingress got."""
+    """Counts the responses to the clients of one hollow ingress, by kind."""
 
     def __init__(self) -> None:
         self.served = 0
@@ -98,21 +98,21 @@
         self.failed = 0
 
     def respond(self, answer: AttemptResult) -> None:
-        """Counts an answer."""
+        """Counts a response from a backend."""
         self.served += 1
 
     stream_response = respond
 
     def disconnected(self) -> bool:
-        """Returns that the client is still there."""
+        """Returns False: simulated clients never disconnect."""
         return False
 
     def reject(self, retry_after: int) -> None:
-        """Counts a rejection."""
+        """Counts a rejection by the ingress."""
         self.refused += 1
 
     def fail(self, timed_out: bool) -> None:
-        """Counts a failure."""
+        """Counts a failed request."""
         self.failed += 1
 
 
@@ -120,29 +120,29 @@
     """One ingress without sockets for clients and backends.
 
     Attributes:
-        in_force_at: By version of the list, when it was in force (monotonic clock).
-        client: Counts the answers.
-        watch: Its watch on the endpoint list.
-        counter: Its client of the counter.
+        in_force_at: When each version of the endpoint list was applied, in seconds of the monotonic clock.
+        client: Counts the responses.
+        watch: The watch on the endpoint list.
+        counter: The client of the counter.
     """
 
     def __init__(
         self, settings: Settings, raw: dict[str, Any], discovery: tuple[str, int], counter: tuple[str, int]
     ) -> None:
-        """Opens no connection before `start`.
+        """Builds the ingress; `start` opens its connections.
 
         Args:
-            settings: The settings, with this ingress's number.
-            raw: The settings as JSON has them.
-            discovery: Host and port.
-            counter: Host and port.
+            settings: The decoded settings, with this ingress's `gateway_index`.
+            raw: The same settings as a JSON object.
+            discovery: Host and port of discovery.
+            counter: Host and port of the counter.
         """
         clock = Clock()
         self.in_force_at: dict[int, float] = {}
         self.client = HollowClient()
         self._rng = random.Random(settings.gateway_index)
         self._memory = MemoryBudget()
-        self._last_number = 0
+        self._last_request_number = 0
         self._engine = Engine(
             Gateway(settings, settings.gateway_index + 1),
             settings,
@@ -165,17 +165,24 @@
         self.counter.start()
 
     def stop(self) -> None:
-        """Ends these connections."""
+        """Closes the connections to discovery and the counter."""
         self.watch.stop()
         self.counter.stop()
 
     def in_force_since(self, version: int) -> float | None:
-        """Returns when that version or a later one was in force; None if none is yet."""
-        moments = (moment for known, moment in self.in_force_at.items() if known >= version)
-        return min(moments, default=None)
+        """Returns when `version` or a later one was applied (monotonic s); None if it has not been."""
+        times = (at for applied_version, at in self.in_force_at.items() if applied_version >= version)
+        return min(times, default=None)
 
     async def play(self, rate: float, seconds: float, customers: int, spread: int) -> None:
-        """Plays `rate` requests a second at drawn moments, straight into the engine."""
+        """Sends Poisson arrivals of `rate` requests a second straight to the engine.
+
+        Args:
+            rate: Mean requests per second.
+            seconds: How long requests are sent.
+            customers: Number of customers, drawn uniformly.
+            spread: Number of ingresses that each customer's requests come through.
+        """
         loop = asyncio.get_running_loop()
         due = loop.time()
         end = due + seconds
@@ -185,11 +192,11 @@
             self._engine.on_request(request, self.client)
 
     def _build_request(self, customer: int, spread: int) -> ParsedRequest:
-        self._last_number += 1
+        self._last_request_number += 1
         body = Body(self._memory)
         body.complete = True
         return ParsedRequest(
-            id=b"%x-%x" % (self._engine.settings.gateway_index, self._last_number),
+            id=b"%x-%x" % (self._engine.settings.gateway_index, self._last_request_number),
             request_class=0,
             plan=0,
             customer=customer,
@@ -209,7 +216,7 @@
 
 
 class HollowFleet:
-    """A part of the fleet, in a worker."""
+    """The hollow ingresses of one worker process."""
 
     def __init__(self) -> None:
         self._ingresses: list[HollowIngress] = []
@@ -217,17 +224,17 @@
     async def start(
         self, first: int, count: int, fleet_size: int, discovery: list[Any], counter: int, pace: float
     ) -> int:
-        """Starts ingresses, and returns how many there are.
+        """Starts ingresses, and returns how many this worker runs.
 
-        Each calls the counter at an address of its own, so that the counter, which holds so many connections
-        of one caller, can tell them apart.
+        Each connects to the counter at a different loopback address: the counter limits the connections of
+        each caller to each of its addresses.
 
         Args:
-            first: Number of the first one.
+            first: `gateway_index` of the first one.
             count: How many to start.
-            fleet_size: Ingresses of the whole fleet, as the settings have it.
-            discovery: Host and port.
-            counter: The counter's port.
+            fleet_size: Ingresses of the whole fleet, for the settings.
+            discovery: Host and port of discovery.
+            counter: Port of the counter.
             pace: Seconds between two starts.
         """
         raw = Shape(fleet_size=fleet_size).settings()
@@ -242,20 +249,20 @@
         return len(self._ingresses)
 
     def stop(self) -> None:
-        """Ends all of them."""
+        """Closes the connections of all ingresses."""
         for ingress in self._ingresses:
             ingress.stop()
 
     def in_force(self, version: int) -> list[float]:
-        """Returns when each had that version or a later one, by a clock of the whole machine.
+        """Returns when each ingress applied `version` or a later one (s of the machine's monotonic clock).
 
-        Those that have none yet are left out.
+        Ingresses that have not applied it yet are left out.
         """
-        moments = (ingress.in_force_since(version) for ingress in self._ingresses)
-        return [moment for moment in moments if moment is not None]
+        times = (ingress.in_force_since(version) for ingress in self._ingresses)
+        return [at for at in times if at is not None]
 
     async def requests(self, rate: float, seconds: float, customers: int, spread: int) -> dict[str, int]:
-        """Plays `rate` requests a second at each of them. Returns the answers by kind."""
+        """Sends `rate` requests a second to each ingress; returns the number of responses by kind."""
         plays = (ingress.play(rate, seconds, customers, spread) for ingress in self._ingresses)
         await asyncio.gather(*plays)
         await asyncio.sleep(LAST_ANSWERS_TIME)
--- a/ingress_testbed/hosts.py
+++ b/ingress_testbed/hosts.py
@@ -1,4 +1,4 @@
-"""The stand-ins as hosts in workers: what a run asks of each."""
+"""Hosts that run the stand-ins in worker processes; their methods are called by name from the experiments."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DiscoveryHost:
-    """A discovery, and the backends that it lists."""
+    """Runs a discovery server, which lists backends and sends changes on request."""
 
     _discovery: DiscoveryServer
     _rng: random.Random
@@ -19,7 +19,14 @@
     _port: int
 
     async def start(self, backends: int, port: int, seed: int, capacity: float = 0.0) -> int:
-        """Lists that many backends, each at `port` of its own address. Returns discovery's port."""
+        """Starts the discovery server; returns its port.
+
+        Args:
+            backends: Number of listed backends, each at a different loopback address.
+            port: Port of every backend.
+            seed: Seed of the random changes.
+            capacity: Calls answered per second; 0 for no limit.
+        """
         entries = [entry(number, port) for number in range(backends)]
         self._discovery = DiscoveryServer(entries, capacity=capacity)
         self._rng = random.Random(seed)
@@ -29,27 +36,27 @@
         return self._discovery.port
 
     def change(self, lines: int = 1, each: int = 1) -> int:
-        """Sends so many lines, each with `each` restarted backends. Returns the new version."""
+        """Sends `lines` change lines with `each` restarted backends each; returns the list's new version."""
         for _ in range(lines):
             self._discovery.apply_change(restarts(self._rng, self._backends, each, self._port))
         return self._discovery.version
 
     def remove(self, fraction: float) -> int:
-        """Takes that part of all backends off the list, in one line. Returns the new version."""
+        """Removes a random fraction of the backends in one change line; returns the list's new version."""
         count = round(fraction * self._backends)
         names = self._rng.sample(sorted(self._discovery.entries), count)
         return self._discovery.apply_change([{"name": name, "status": "removed"} for name in names])
 
     def set_capacity(self, capacity: float) -> None:
-        """Limits the calls answered a second; 0 for any number."""
+        """Sets the calls answered per second; 0 for no limit."""
         self._discovery.capacity = capacity
 
     def abort_watches(self) -> None:
-        """Ends all watches at once."""
+        """Aborts the connections of all watches at once."""
         self._discovery.abort_watches()
 
     def counts(self) -> dict[str, int]:
-        """Returns what has been counted so far."""
+        """Returns the totals since the start; `unsent` is the bytes buffered for watches now."""
         discovery = self._discovery
         return {
             "watches": len(discovery.watches),
@@ -64,18 +71,23 @@
 
 
 class CounterHost:
-    """A counter."""
+    """Runs a counter server."""
 
     _counter: CounterServer
 
     async def start(self, partitions: int = 1, capacity: float = 0.0) -> int:
-        """Returns the counter's port."""
+        """Starts the counter; returns its port.
+
+        Args:
+            partitions: Number of partitions, which serve calls independently.
+            capacity: Calls answered per second; 0 for no limit.
+        """
         self._counter = CounterServer(partitions, capacity)
         await self._counter.start()
         return self._counter.port
 
     def counts(self) -> dict[str, int]:
-        """Returns what has been counted so far."""
+        """Returns the totals since the start; `connections` and `names` are the numbers now."""
         counter = self._counter
         return {
             "connections": len(counter.connections),
@@ -88,18 +100,18 @@
 
 
 class BackendsHost:
-    """Backends, as many as are called."""
+    """Runs one server that stands for all backends: it answers at every loopback address."""
 
     _backends: BackendServer
 
     async def start(self, work: float = 0.0) -> int:
-        """Answers each request `work` seconds after it came. Returns the backends' port."""
+        """Starts the backends, which answer each request after `work` seconds; returns their port."""
         self._backends = BackendServer(work)
         await self._backends.start()
         return self._backends.port
 
     def counts(self) -> dict[str, int]:
-        """Returns what has been counted so far."""
+        """Returns the totals since the start; `open` is the number of connections now."""
         backends = self._backends
         return {
             "served": backends.served,
--- a/ingress_testbed/lab.py
+++ b/ingress_testbed/lab.py
@@ -1,4 +1,4 @@
-"""One play of an experiment: the processes it starts, and that all of them end with it."""
+"""The processes of one repetition of an experiment; all of them are stopped when it ends."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from ingress_testbed.real import IngressProcess
 from ingress_testbed.worker import Worker
 
-MAX_PROCESSES = 40
+MAX_PROCESSES = 40  # per repetition
 
 
 class TooManyProcessesError(RuntimeError):
-    """An experiment would start more processes than a play may have."""
+    """An experiment would start more than MAX_PROCESSES processes in one repetition."""
 
 
 class Lab:
-    """The processes of one play, and the folder in which they work.
+    """The processes of one repetition, and their temporary folder.
 
     Attributes:
         program: The folder of the ingress under test.
-        seed: Of all draws of the play.
-        options: The experiment's, by name.
+        seed: Seed of the repetition's random draws.
+        options: The experiment's options, by name.
     """
 
     def __init__(self, program: Path, seed: int, options: dict[str, float], caches: Path) -> None:
-        """Starts nothing. Compiled files go to `caches`, so that none is written beside the sources."""
+        """Prepares the environment. Bytecode goes to `caches`, so that none is written beside the sources."""
         self.program = program
         self.seed = seed
         self.options = options
@@ -53,7 +53,7 @@
         await self._exit_stack.aclose()
 
     def option(self, name: str) -> int:
-        """Returns an option as a whole number."""
+        """Returns the value of an option, truncated to an integer."""
         return int(self.options[name])
 
     async def worker(self, target: str) -> Worker:
@@ -71,7 +71,7 @@
         known: Sequence[dict[str, Any]] = (),
         version: int = 0,
     ) -> IngressProcess:
-        """Starts a real ingress; see `config` for the arguments."""
+        """Starts a real ingress, and returns once it listens; see `config` for the arguments."""
         config = self.config(shape, discovery, counter, known, version)
         self._count_process()
         ingress = await IngressProcess.start(self.program, config, self._folder, self._env)
@@ -86,13 +86,13 @@
         known: Sequence[dict[str, Any]] = (),
         version: int = 0,
     ) -> dict[str, Any]:
-        """Returns a configuration.
+        """Returns the configuration of an ingress, as the content of its file.
 
         Args:
             shape: The sizes of its settings.
-            discovery: Port of the discovery.
+            discovery: Port of discovery.
             counter: Port of the counter.
-            known: The list as last held.
+            known: The endpoint list that the ingress starts with.
             version: The version of that list.
         """
         discovery_address = f"{HOST}:{discovery}"
@@ -100,22 +100,24 @@
         return configuration(shape, discovery_address, counter_address, known=known, index=version)
 
     async def discovery(self, backends: int, port: int, capacity: float = 0.0) -> tuple[Worker, int]:
-        """Starts a discovery that lists so many backends at `port`. Returns it and its own port."""
+        """Starts a discovery that lists `backends` backends at `port`; returns its worker and port."""
         worker = await self.worker("ingress_testbed.hosts:DiscoveryHost")
         own_port = await worker.call("start", backends=backends, port=port, seed=self.seed, capacity=capacity)
         return worker, int(own_port)
 
     async def counter(self) -> tuple[Worker, int]:
-        """Starts a counter. Returns it and its port."""
+        """Starts a counter; returns its worker and its port."""
         worker = await self.worker("ingress_testbed.hosts:CounterHost")
         return worker, int(await worker.call("start"))
 
     async def backends(self, work: float = 0.0) -> tuple[Worker, int]:
-        """Starts backends that work `work` seconds on each request. Returns them and their port."""
+        """Starts backends that answer each request after `work` seconds; returns their worker and port."""
         worker = await self.worker("ingress_testbed.hosts:BackendsHost")
         return worker, int(await worker.call("start", work=work))
 
     def _count_process(self) -> None:
         self._process_count += 1
         if self._process_count > MAX_PROCESSES:
-            raise TooManyProcessesError(f"over {MAX_PROCESSES} processes in one play")
+            raise TooManyProcessesError(
+                f"the experiment starts more than {MAX_PROCESSES} processes in one repetition"
+            )
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -57,7 +57,10 @@
         (["sweep", "fleet", "--over", "1,2"], "3 different sizes"),
         (["sweep", "fleet", "--over", "1,2,-3"], "over 0"),
         (["sweep", "fleet", "--over", "1,2,x"], "whole numbers"),
-        (["sweep", "fleet", "--over", "1,2,3", "--set", "size=3"], "'size' is no option of fleet: backends"),
+        (
+            ["sweep", "fleet", "--over", "1,2,3", "--set", "size=3"],
+            "'size' is not an option of fleet; its options: backends",
+        ),
         (["sweep", "fleet", "--over", "1,2,3", "--set", "rate=x"], "'x' is not a number"),
         (["sweep", "fleet", "--over", "1,2,3", "--program", "no-such-commit"], "--program"),
         (["show", "README.md"], "README.md: "),
