--- a/ingress_testbed/experiments/fleet.py
+++ b/ingress_testbed/experiments/fleet.py
@@ -10,7 +10,7 @@
 from ingress_testbed import proc
 from ingress_testbed.experiments.base import UNUSED_PORT, Experiment, ExperimentError, Figures
 from ingress_testbed.lab import Lab
-from ingress_testbed.model import HOST, OUTAGE, Shape
+from ingress_testbed.model import HOST, ZONE_FRACTION, Shape
 from ingress_testbed.real import IngressProcess
 from ingress_testbed.worker import Worker
 
@@ -66,7 +66,7 @@
         self.counter, counter_port = await lab.counter()
         self.real = []
         for number in range(self.hollow_count, self.ingress_count):
-            shape = Shape(fleet_size=self.ingress_count, me=number)
+            shape = Shape(fleet_size=self.ingress_count, gateway_index=number)
             self.real.append(await lab.ingress(shape, discovery_port, counter_port))
         for _ in range(0, self.hollow_count, HOLLOW_PER_WORKER):
             self.hollow_workers.append(await lab.worker("ingress_testbed.hollow:HollowFleet"))
@@ -211,7 +211,7 @@
     """Takes the backends of a zone off the list, in one line."""
     cpu_before = proc.cpu(fleet.discovery.pid)
     since = time.monotonic()
-    version = await fleet.discovery.call("remove", fraction=OUTAGE)
+    version = await fleet.discovery.call("remove", fraction=ZONE_FRACTION)
     delays = await fleet.delays(version, since)
     return {
         "discovery_cpu_zone_ms": (proc.cpu(fleet.discovery.pid) - cpu_before) * 1e3,
--- a/ingress_testbed/experiments/lists.py
+++ b/ingress_testbed/experiments/lists.py
@@ -8,7 +8,7 @@
 from ingress_testbed import proc
 from ingress_testbed.experiments.base import PROBE, UNUSED_PORT, Experiment, Figures
 from ingress_testbed.lab import Lab
-from ingress_testbed.model import OUTAGE, Shape, entry
+from ingress_testbed.model import ZONE_FRACTION, Shape, entry
 from ingress_testbed.real import IngressProcess
 from ingress_testbed.worker import Worker
 
@@ -32,7 +32,7 @@
     discovery, port = await lab.discovery(size, UNUSED_PORT)
     shape = Shape(fleet_size=lab.option("fleet_size"))
     ingress = await lab.ingress(shape, port, UNUSED_PORT)
-    await proc.rest(ingress.pid, longest=4.0 + size / 4000)
+    await proc.wait_until_idle(ingress.pid, timeout=4.0 + size / 4000)
     counts = await discovery.call("counts")
     is_taken = counts["watches"] == 1 and counts["lists"] == 1
     figures = {"taken_n": float(is_taken), "lists_asked_n": float(counts["lists"])}
@@ -42,15 +42,15 @@
         figures |= await _futile_cost(ingress, discovery, counts["sent"])
         version = (await discovery.call("counts"))["version"]
         await ingress.stop()
-        known = [entry(n, UNUSED_PORT) for n in range(size)]
-        ingress = await lab.ingress(shape, port, UNUSED_PORT, known, version)
-        await proc.rest(ingress.pid)
+        endpoints = [entry(n, UNUSED_PORT) for n in range(size)]
+        ingress = await lab.ingress(shape, port, UNUSED_PORT, endpoints, version)
+        await proc.wait_until_idle(ingress.pid)
         figures["cpu_start_known_ms"] = ingress.cpu() * 1e3
     figures["rss_mb"], figures["peak_mb"] = proc.memory(ingress.pid)
     change = await _cost_of(ingress, discovery, "change", lines=CHANGES)
     figures["cpu_change_ms"] = change["cpu_ms"] / CHANGES
     figures["change_b"] = change["sent_b"] / CHANGES
-    zone = await _cost_of(ingress, discovery, "remove", fraction=OUTAGE)
+    zone = await _cost_of(ingress, discovery, "remove", fraction=ZONE_FRACTION)
     figures["cpu_zone_ms"] = zone["cpu_ms"]
     figures["zone_b"] = zone["sent_b"]
     _, figures["peak_after_mb"] = proc.memory(ingress.pid)
@@ -77,7 +77,7 @@
     before = ingress.cpu()
     sent_before = (await discovery.call("counts"))["sent"]
     await discovery.call(method, **arguments)
-    await proc.rest(ingress.pid)
+    await proc.wait_until_idle(ingress.pid)
     cpu = ingress.cpu() - before
     sent = (await discovery.call("counts"))["sent"] - sent_before
     return {"cpu_ms": cpu * 1e3, "sent_b": float(sent)}
@@ -87,7 +87,7 @@
     """Plays `rate` changes a second, one backend each, at a steady pace."""
     discovery, port = await lab.discovery(lab.option("backends"), UNUSED_PORT)
     ingress = await lab.ingress(Shape(fleet_size=lab.option("fleet_size")), port, UNUSED_PORT)
-    await proc.rest(ingress.pid)
+    await proc.wait_until_idle(ingress.pid)
     loop = asyncio.get_running_loop()
     seconds = lab.option("seconds")
     before = ingress.cpu()
@@ -97,7 +97,7 @@
         await asyncio.sleep(max(0.0, began + number / rate - loop.time()))
         await discovery.call("change")
     await asyncio.sleep(max(0.0, began + seconds - loop.time()))
-    await proc.rest(ingress.pid)
+    await proc.wait_until_idle(ingress.pid)
     duration = loop.time() - began
     sent = (await discovery.call("counts"))["sent"] - sent_before
     rss, _ = proc.memory(ingress.pid)
--- a/ingress_testbed/experiments/requests.py
+++ b/ingress_testbed/experiments/requests.py
@@ -54,7 +54,7 @@
     _, discovery_port = await lab.discovery(backend_count, backends_port)
     counter, counter_port = await lab.counter()
     ingress = await lab.ingress(Shape(fleet_size=lab.option("fleet_size")), discovery_port, counter_port)
-    await proc.rest(ingress.pid, longest=2.0)
+    await proc.wait_until_idle(ingress.pid, timeout=2.0)
     clients = await lab.worker("ingress_testbed.load:LoadHost")
     load = {"rate": rate, "customers": lab.option("customers"), "spread": lab.option("spread")}
     await clients.call("run", port=ingress.port, seconds=WARM_UP, seed=lab.seed, **load)
--- a/ingress_testbed/experiments/tables.py
+++ b/ingress_testbed/experiments/tables.py
@@ -29,7 +29,7 @@
     """Loads classes and a list in one real process: it keeps something for each class of each backend."""
     discovery, port = await lab.discovery(lab.option("backends"), UNUSED_PORT)
     ingress = await lab.ingress(Shape(lab.option("fleet_size"), classes=size), port, UNUSED_PORT)
-    await proc.rest(ingress.pid, longest=10.0)
+    await proc.wait_until_idle(ingress.pid, timeout=10.0)
     counts = await discovery.call("counts")
     if counts["lists"] != 1:
         raise ExperimentError("the ingress does not take the list")
@@ -55,14 +55,14 @@
 async def _start_and_reload(lab: Lab, shape: Shape) -> Figures:
     """A real process's start with this configuration, and its SIGHUP with another counter in the same one."""
     ingress = await lab.ingress(shape, UNUSED_PORT, UNUSED_PORT)
-    await proc.rest(ingress.pid, longest=3.0)
+    await proc.wait_until_idle(ingress.pid, timeout=3.0)
     start = ingress.cpu()
     rss, peak = proc.memory(ingress.pid)
     loop = asyncio.get_running_loop()
     before = ingress.cpu()
     began = loop.time()
     ingress.reload(lab.config(shape, UNUSED_PORT, UNUSED_PORT + 1))
-    await proc.rest(ingress.pid, longest=20.0)
+    await proc.wait_until_idle(ingress.pid, timeout=20.0)
     idle = await _idle_cpu(ingress.pid) * (loop.time() - began)
     reload = max(0.0, ingress.cpu() - before - idle)
     _, peak_after_reload = proc.memory(ingress.pid)
--- a/ingress_testbed/hosts.py
+++ b/ingress_testbed/hosts.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ingress_testbed.model import entry, restarts
+from ingress_testbed.model import draw_restarts, entry
 from ingress_testbed.standins.backend import BackendServer
 from ingress_testbed.standins.counter import CounterServer
 from ingress_testbed.standins.discovery import DiscoveryServer
@@ -38,7 +38,7 @@
     def change(self, lines: int = 1, each: int = 1) -> int:
         """Sends `lines` change lines with `each` restarted backends each; returns the list's new version."""
         for _ in range(lines):
-            self._discovery.apply_change(restarts(self._rng, self._backends, each, self._port))
+            self._discovery.apply_change(draw_restarts(self._rng, self._backends, each, self._port))
         return self._discovery.version
 
     def remove(self, fraction: float) -> int:
--- a/ingress_testbed/lab.py
+++ b/ingress_testbed/lab.py
@@ -68,11 +68,11 @@
         shape: Shape,
         discovery: int,
         counter: int,
-        known: Sequence[dict[str, Any]] = (),
+        endpoints: Sequence[dict[str, Any]] = (),
         version: int = 0,
     ) -> IngressProcess:
         """Starts a real ingress, and returns once it listens; see `config` for the arguments."""
-        config = self.config(shape, discovery, counter, known, version)
+        config = self.config(shape, discovery, counter, endpoints, version)
         self._count_process()
         ingress = await IngressProcess.start(self.program, config, self._folder, self._env)
         self._exit_stack.push_async_callback(ingress.stop)
@@ -83,7 +83,7 @@
         shape: Shape,
         discovery: int,
         counter: int,
-        known: Sequence[dict[str, Any]] = (),
+        endpoints: Sequence[dict[str, Any]] = (),
         version: int = 0,
     ) -> dict[str, Any]:
         """Returns the configuration of an ingress, as the content of its file.
@@ -92,12 +92,12 @@
             shape: The sizes of its settings.
             discovery: Port of discovery.
             counter: Port of the counter.
-            known: The endpoint list that the ingress starts with.
+            endpoints: The endpoint list that the ingress starts with.
             version: The version of that list.
         """
         discovery_address = f"{HOST}:{discovery}"
         counter_address = f"{HOST}:{counter}"
-        return configuration(shape, discovery_address, counter_address, known=known, index=version)
+        return configuration(shape, discovery_address, counter_address, endpoints=endpoints, version=version)
 
     async def discovery(self, backends: int, port: int, capacity: float = 0.0) -> tuple[Worker, int]:
         """Starts a discovery that lists `backends` backends at `port`; returns its worker and port."""
--- a/ingress_testbed/load.py
+++ b/ingress_testbed/load.py
@@ -1,4 +1,4 @@
-"""Open-loop clients: requests at moments drawn ahead, whatever became of the earlier ones."""
+"""Open-loop clients: arrival times are drawn independently of the responses to earlier requests."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from ingress_testbed.standins.sockets import Connection
 
-LEAD_TIME = 0.05  # s before the first request may be due
-ANSWER_TIMEOUT = 5.0  # s after the last request in which answers may come
+LEAD_TIME = 0.05  # s between the start of a run and the earliest arrival
+ANSWER_TIMEOUT = 5.0  # s to wait for responses after the last request
 POLL_INTERVAL = 0.02  # s
-MAX_IDLE_TIME = 1.5  # s after which a connection is not reused: the other side closes it after 2
-NO_ANSWER = 0  # stands for the status where no complete answer came
-FIRST_NUMBER_SHIFT = 16  # bits of a request's number that count the requests of one run
+MAX_IDLE_TIME = 1.5  # s after which a connection is not reused: the server closes idle ones after 2 s
+NO_ANSWER = 0  # status code that counts requests without a complete response
+RUN_NUMBER_SHIFT = 16  # low bits of a request number that count the requests of one run
 HOST_HEADER = "app.svc"
 
 
 def build_request(number: int, customer: int, spread: int, route: int) -> bytes:
-    """Returns a request as the protocol page has it."""
+    """Returns the bytes of a GET request with the headers of the published protocol."""
     return (
         f"GET /route-{route}/x HTTP/1.1\r\nHost: {HOST_HEADER}\r\nRequest-Id: {number:016x}\r\n"
         f"X-Plan: plan-0\r\nCookie: customer={customer:016x}\r\nRequest-Timeout: 3000m\r\n"
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request that has been sent and not answered.
+    """A request that has been sent, or is about to be, and has no response yet.
 
     Attributes:
-        due: When it was to be sent, in seconds of the loop's clock.
-        data: Its bytes.
+        due: Its scheduled arrival time, in seconds of the loop's clock.
+        data: The encoded request.
     """
 
     due: float
@@ -42,15 +42,15 @@
 
 
 class LoadConnection(Connection):
-    """A connection to the ingress, with one request at a time.
+    """A client connection to the ingress that carries one request at a time.
 
     Attributes:
-        pending: The request whose answer is to come.
-        idle_since: Seconds of the loop's clock.
+        pending: The request that waits for its response.
+        idle_since: When the last response was complete, in seconds of the loop's clock.
     """
 
     def __init__(self, generator: LoadGenerator) -> None:
-        """Reports answers to `generator`."""
+        """Reports responses and disconnects to `generator`."""
         self.pending: PendingRequest | None = None
         self.idle_since = 0.0
         self._generator = generator
@@ -62,7 +62,7 @@
         self.transport.write(request.data)
 
     def data_received(self, data: bytes) -> None:
-        """Takes an answer once it is complete."""
+        """Buffers bytes, and reports the response once it is complete."""
         self._unread += data
         head, separator, rest = self._unread.partition(b"\r\n\r\n")
         if not separator:
@@ -82,7 +82,7 @@
             self._generator.idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports a request that was not answered."""
+        """Reports the pending request, if any, as not answered."""
         if self in self._generator.idle:
             self._generator.idle.remove(self)
         if self.pending:
@@ -94,13 +94,13 @@
 
     Attributes:
         idle: Connections that may be reused.
-        latencies: Seconds from the moment a request was due to its answer's last byte, of those served.
-        statuses: Answers by their status, or NO_ANSWER.
-        opened: Connections that were made.
+        latencies: Seconds from a request's scheduled arrival to its response's last byte, for status 200.
+        statuses: Number of responses by status code, or by NO_ANSWER.
+        opened: Number of connection attempts.
     """
 
     def __init__(self, host: str, port: int) -> None:
-        """Sends to that address."""
+        """Sends to the server at `host` and `port`; `run` opens the connections."""
         self.idle: list[LoadConnection] = []
         self.latencies: list[float] = []
         self.statuses: Counter[int] = Counter()
@@ -112,18 +112,18 @@
     async def run(
         self, rate: float, seconds: float, seed: int, customers: int, spread: int, routes: int
     ) -> dict[str, float]:
-        """Sends requests and waits for their answers.
+        """Sends requests, and waits for their responses for at most ANSWER_TIMEOUT after the last one.
 
         Args:
-            rate: Requests a second, in the mean.
+            rate: Mean requests per second.
             seconds: How long requests are sent.
-            seed: Of the draws of moments, customers and routes.
-            customers: Their number; each is as likely as the others.
-            spread: Ingresses that a customer comes through.
-            routes: Number of the request's classes.
+            seed: Seed of the arrival times, customers and routes.
+            customers: Number of customers, drawn uniformly.
+            spread: Number of ingresses that each customer's requests come through.
+            routes: Number of routes, drawn uniformly; each has its own request class.
 
         Returns:
-            Figures: latencies in ms, counts of answers by kind.
+            Figures by name, with the unit as the last word: latencies, and counts of responses by kind.
         """
         cpu_before = time.process_time()
         sent = await self._send_requests(rate, seconds, seed, customers, spread, routes)
@@ -136,12 +136,12 @@
     async def _send_requests(
         self, rate: float, seconds: float, seed: int, customers: int, spread: int, routes: int
     ) -> int:
-        """Sends all requests at their moments, and returns their number."""
+        """Sends all requests at their arrival times, and returns their number."""
         rng = random.Random(seed)
         loop = asyncio.get_running_loop()
         due = loop.time() + LEAD_TIME
         end = due + seconds
-        first_number = rng.getrandbits(48) << FIRST_NUMBER_SHIFT
+        first_number = rng.getrandbits(48) << RUN_NUMBER_SHIFT
         sent = 0
         while (due := due + rng.expovariate(rate)) < end:
             sent += 1
@@ -172,17 +172,17 @@
         }
 
     def on_answer(self, status: int, due: float) -> None:
-        """Counts an answer to the request that was due then."""
+        """Counts a response with `status` to the request that was scheduled for `due`."""
         self.statuses[status] += 1
         if status == 200:
             self.latencies.append(asyncio.get_running_loop().time() - due)
 
     def on_disconnect(self, request: PendingRequest, has_begun: bool) -> None:
-        """Sends a request once more, on a new connection, if a close has crossed it.
+        """Sends a request once more, on a new connection, in case the server's close crossed it on the wire.
 
         Args:
             request: The request that was not answered.
-            has_begun: Whether some of its answer had come: then it is not sent again.
+            has_begun: Whether a part of its response was received; if so, the request is not sent again.
         """
         if has_begun or request.data in self._resent:
             self.statuses[NO_ANSWER] += 1
@@ -227,7 +227,7 @@
 
 
 class LoadHost:
-    """The clients in a worker."""
+    """Runs the clients in a worker process."""
 
     async def run(
         self,
@@ -240,5 +240,5 @@
         spread: int = 1,
         routes: int = 3,
     ) -> dict[str, float]:
-        """Plays one run; see `LoadGenerator.run`."""
+        """Runs the clients once; see `LoadGenerator.run` for the arguments and the figures."""
         return await LoadGenerator(host, port).run(rate, seconds, seed, customers, spread, routes)
--- a/ingress_testbed/model.py
+++ b/ingress_testbed/model.py
@@ -1,4 +1,4 @@
-"""What a run is made of: settings, lists of backends and configurations, each drawn from a seed."""
+"""Builders of settings, endpoint list entries and configurations for experiments."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 HOST = "127.0.0.1"
 ZONES = 27
-OUTAGE = 0.037  # of a list: what a lost zone takes
+ZONE_FRACTION = 0.037  # fraction of the endpoint list that the loss of one of 27 zones removes
 BASE_SETTINGS: dict[str, Any] = {
     "me": 0,
     "fleet_size": 1,
@@ -39,34 +39,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The sizes that a configuration is made for.
+    """The sizes of a gateway's settings.
 
-    `classes` stand in for routes (the program has no others), `plans` for the tenants that the settings hold.
+    Attributes:
+        fleet_size: Gateways in the fleet.
+        gateway_index: Number of this gateway in the fleet.
+        classes: Number of request classes, which stand in for routes: the ingress has no other routes.
+        plans: Number of plans, which stand in for the tenants in the settings.
     """
 
     fleet_size: int = 1
-    me: int = 0
+    gateway_index: int = 0
     classes: int = 3
     plans: int = 4
 
     def settings(self) -> dict[str, Any]:
-        """The settings as an ingress gets them (JSON), times in microseconds."""
+        """Returns the settings as a JSON object, with times in microseconds."""
         services = [
             {"name": f"route-{n}", "on_time": 1_000_000, "deadline": 4_000_000, "semantics": "retryable"}
             for n in range(self.classes)
         ]
         plans = [{"name": f"plan-{n}", "quota_rate": 50.0, "burst": 100.0} for n in range(self.plans)]
-        sizes = {"me": self.me, "fleet_size": self.fleet_size, "services": services, "contracts": plans}
+        sizes = {
+            "me": self.gateway_index,
+            "fleet_size": self.fleet_size,
+            "services": services,
+            "contracts": plans,
+        }
         return BASE_SETTINGS | sizes
 
 
 def address(number: int, port: int) -> str:
-    """An address of loopback's own 16 million, the same for the same number: many backends on one socket."""
+    """Returns the loopback address of backend `number`, so that one socket serves many backends."""
     return f"127.{1 + (number >> 16 & 127)}.{number >> 8 & 255}.{number & 255}:{port}"
 
 
 def entry(number: int, port: int, status: str = "up", since_ms: int = 0) -> dict[str, Any]:
-    """A backend as the protocol's list has it."""
+    """Returns backend `number` as an entry of discovery's endpoint list (JSON object)."""
     return {
         "name": f"s-{number:08x}",
         "address": address(number, port),
@@ -79,23 +88,31 @@
     }
 
 
-def restarts(rng: random.Random, backends: int, count: int, port: int) -> list[dict[str, Any]]:
-    """`count` different backends, drawn, each up anew since a drawn moment."""
+def draw_restarts(rng: random.Random, backends: int, count: int, port: int) -> list[dict[str, Any]]:
+    """Returns list entries of `count` random backends (or all, if fewer) with a new random start time."""
     numbers = rng.sample(range(backends), min(count, backends))
     return [entry(n, port, since_ms=rng.randrange(1, 10**9)) for n in numbers]
 
 
 def configuration(
-    shape: Shape, discovery: str, counter: str, known: Sequence[dict[str, Any]] = (), index: int = 0
+    shape: Shape, discovery: str, counter: str, endpoints: Sequence[dict[str, Any]] = (), version: int = 0
 ) -> dict[str, Any]:
-    """A configuration file's content; `known` is the list as last held, version `index`."""
+    """Returns the content of a configuration file.
+
+    Args:
+        shape: The sizes of the settings.
+        discovery: Address of discovery, HOST:PORT.
+        counter: Address of the counter, HOST:PORT.
+        endpoints: The endpoint list that the ingress starts with.
+        version: The version of that list.
+    """
     return {
-        "name": f"n{shape.me}",
+        "name": f"n{shape.gateway_index}",
         "listen": f"{HOST}:0",
         "discovery": discovery,
         "counter": counter,
-        "seed": f"{shape.me + 1:x}",
+        "seed": f"{shape.gateway_index + 1:x}",
         "limits": {"sockets": 1024, "memory_mb": 192},
-        "known": {"index": index, "snapshot": True, "endpoints": list(known)},
+        "known": {"index": version, "snapshot": True, "endpoints": list(endpoints)},
         "settings": shape.settings(),
     }
--- a/ingress_testbed/probe.py
+++ b/ingress_testbed/probe.py
@@ -1,4 +1,4 @@
-"""The policy alone, in a process of its own: what lists, customers, classes and plans cost it."""
+"""Measures the CPU and memory of the policy alone: endpoint lists, customers, request classes and plans."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ingress_testbed import proc
-from ingress_testbed.model import OUTAGE, Shape, entry
+from ingress_testbed.model import ZONE_FRACTION, Shape, entry
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.policy.actions import AddToCounter, SendAttempt
 from quota_ingress.policy.endpoint_list import EndpointsListed, EndpointState, ListedEndpoint, ListKind
@@ -26,28 +26,28 @@
 from quota_ingress.settings_codec import settings_from_json
 
 SECOND = 1_000_000  # us
-REQUESTS = 1000  # over which the cost of one is averaged
-MIN_REQUESTS = 20
-MAX_REQUEST_CLASSES = 2_000_000  # requests times classes that are played at most
-CHANGES = 20  # over which the cost of one is averaged
+REQUEST_COUNT = 1000  # requests averaged for the cost of one
+MIN_REQUEST_COUNT = 20
+MAX_REQUESTS_TIMES_CLASSES = 2_000_000  # upper limit of requests times classes in one measurement
+CHANGE_COUNT = 20  # list changes averaged for the cost of one
 REQUEST_TIMEOUT = 3 * SECOND
 ATTEMPT_LATENCY = 9000  # us
 COUNTER_LATENCY = 500  # us
-SWEEP_TIMER = -1  # the policy's timer that drops idle customers
+SWEEP_TIMER = -1  # token of the policy's timer that drops idle customers
 ENDPOINTS_FOR_CUSTOMERS = 24
 ZONES = 27
 GROUPS = 8
 
 
 def cpu_of(work: Callable[[], object]) -> float:
-    """Returns the seconds of this process's CPU that `work` takes."""
+    """Calls `work`, and returns the seconds of CPU that this process used for it."""
     start = time.process_time()
     work()
     return time.process_time() - start
 
 
 def resident_memory() -> float:
-    """Returns the MB of memory that this process holds."""
+    """Returns the resident memory of this process in MB, after a garbage collection."""
     gc.collect()
     resident, _ = proc.memory(os.getpid())
     return resident
@@ -56,7 +56,7 @@
 def build_list(
     numbers: range, kind: ListKind, started_at: int = 0, is_removed: bool = False
 ) -> EndpointsListed:
-    """Returns the event that lists the endpoints of these numbers."""
+    """Returns the event that lists (or removes) the endpoints with these numbers."""
     state = EndpointState.REMOVED if is_removed else EndpointState.READY
     endpoints = tuple(
         ListedEndpoint(
@@ -75,10 +75,10 @@
 
 
 def play_requests(gateway: Gateway, now: int, customers: range, spread: int = 1, classes: int = 1) -> None:
-    """Plays a request of each customer: its calls are answered and its attempt is served at once.
+    """Plays one request of each customer; counter calls and attempts succeed at once.
 
-    A request that would wait for its turn at the counter is given up by its client, so that only what the
-    customer leaves behind is held.
+    If the request still waits for the counter, its client disconnects, so that the only memory held is the
+    customer's own state.
     """
     for number in customers:
         moment = now + number
@@ -98,81 +98,88 @@
 
 
 class Probe:
-    """A policy in a worker. Each method is called once in a fresh process; memory is what it grew by."""
+    """Measures the policy in a worker process.
+
+    Each method is called once in a new process; memory figures are the growth of its resident memory.
+    """
 
     def backends(self, size: int, fleet_size: int) -> dict[str, float]:
-        """Returns what a list of `size` endpoints costs."""
+        """Returns the cost of a list of `size` endpoints, of its changes and of requests under it."""
         document = {"index": 1, "snapshot": True, "endpoints": [entry(n, 7070) for n in range(size)]}
         text = json.dumps(document, separators=(",", ":"))
         del document
         settings = _settings(Shape(fleet_size=fleet_size))
-        before = resident_memory()
-        read = cpu_of(lambda: decode_endpoint_list(json.loads(text)))
+        mb_before = resident_memory()
+        read_cpu = cpu_of(lambda: decode_endpoint_list(json.loads(text)))
         gateway = Gateway(settings, 1)
         snapshot = build_list(range(size), ListKind.FULL)
-        whole = cpu_of(lambda: gateway.handle(0, snapshot))
-        changes = [build_list(range(n, n + 1), ListKind.DELTA, SECOND + n) for n in range(CHANGES)]
-        change = cpu_of(lambda: [gateway.handle(2 * SECOND, event) for event in changes]) / CHANGES
-        request = cpu_of(lambda: play_requests(gateway, 60 * SECOND, range(REQUESTS))) / REQUESTS
-        preferred = len(gateway.endpoints.preferred)
-        lost_zone = build_list(range(round(OUTAGE * size)), ListKind.DELTA, is_removed=True)
-        zone = cpu_of(lambda: gateway.handle(90 * SECOND, lost_zone))
+        snapshot_cpu = cpu_of(lambda: gateway.handle(0, snapshot))
+        changes = [build_list(range(n, n + 1), ListKind.DELTA, SECOND + n) for n in range(CHANGE_COUNT)]
+        change_cpu = cpu_of(lambda: [gateway.handle(2 * SECOND, event) for event in changes]) / CHANGE_COUNT
+        request_cpu = (
+            cpu_of(lambda: play_requests(gateway, 60 * SECOND, range(REQUEST_COUNT))) / REQUEST_COUNT
+        )
+        preferred_count = len(gateway.endpoints.preferred)
+        lost_zone = build_list(range(round(ZONE_FRACTION * size)), ListKind.DELTA, is_removed=True)
+        zone_cpu = cpu_of(lambda: gateway.handle(90 * SECOND, lost_zone))
         return {
             "list_b": float(len(text)),
-            "cpu_read_ms": read * 1e3,
-            "cpu_whole_ms": whole * 1e3,
-            "cpu_change_ms": change * 1e3,
-            "cpu_zone_ms": zone * 1e3,
-            "cpu_request_us": request * 1e6,
-            "own_part_n": float(preferred),
-            "grown_mb": resident_memory() - before,
+            "cpu_read_ms": read_cpu * 1e3,
+            "cpu_whole_ms": snapshot_cpu * 1e3,
+            "cpu_change_ms": change_cpu * 1e3,
+            "cpu_zone_ms": zone_cpu * 1e3,
+            "cpu_request_us": request_cpu * 1e6,
+            "own_part_n": float(preferred_count),
+            "grown_mb": resident_memory() - mb_before,
         }
 
     def customers(self, size: int, spread: int, fleet_size: int) -> dict[str, float]:
-        """Returns what `size` customers cost."""
+        """Returns the cost of `size` customers, each of which sends one request."""
         gateway = Gateway(_settings(Shape(fleet_size=fleet_size)), 1)
         gateway.handle(0, build_list(range(ENDPOINTS_FOR_CUSTOMERS), ListKind.FULL))
-        before = resident_memory()
-        first = cpu_of(lambda: play_requests(gateway, 2 * SECOND, range(size), spread)) / size
-        held = float(len(gateway.admission.customers))
-        grown = resident_memory() - before
-        again = cpu_of(lambda: play_requests(gateway, 3 * SECOND, range(REQUESTS), spread)) / REQUESTS
-        sweep = cpu_of(lambda: gateway.handle(5 * SECOND, TimerFired(SWEEP_TIMER)))
+        mb_before = resident_memory()
+        first_request_cpu = cpu_of(lambda: play_requests(gateway, 2 * SECOND, range(size), spread)) / size
+        customer_count = float(len(gateway.admission.customers))
+        grown_mb = resident_memory() - mb_before
+        repeated_request_cpu = (
+            cpu_of(lambda: play_requests(gateway, 3 * SECOND, range(REQUEST_COUNT), spread)) / REQUEST_COUNT
+        )
+        sweep_cpu = cpu_of(lambda: gateway.handle(5 * SECOND, TimerFired(SWEEP_TIMER)))
         return {
-            "held_n": held,
-            "grown_mb": grown,
-            "cpu_first_us": first * 1e6,
-            "cpu_request_us": again * 1e6,
-            "cpu_sweep_ms": sweep * 1e3,
+            "held_n": customer_count,
+            "grown_mb": grown_mb,
+            "cpu_first_us": first_request_cpu * 1e6,
+            "cpu_request_us": repeated_request_cpu * 1e6,
+            "cpu_sweep_ms": sweep_cpu * 1e3,
         }
 
     def classes(self, size: int, backends: int, fleet_size: int) -> dict[str, float]:
-        """Returns what `size` classes cost; requests are spread over all of them."""
+        """Returns the cost of `size` request classes, with requests spread over all of them."""
         return self._tables(Shape(fleet_size=fleet_size, classes=size), backends)
 
     def plans(self, size: int, backends: int, fleet_size: int) -> dict[str, float]:
-        """Returns what `size` plans cost."""
+        """Returns the cost of `size` plans."""
         return self._tables(Shape(fleet_size=fleet_size, plans=size), backends)
 
     def _tables(self, shape: Shape, backends: int) -> dict[str, float]:
-        """Returns what the settings' tables cost."""
+        """Returns the cost of decoding settings, of a list with `backends` entries and of requests."""
         text = json.dumps(shape.settings()).encode()
-        before = resident_memory()
+        mb_before = resident_memory()
         decoded: list[Settings] = []
-        read = cpu_of(lambda: decoded.append(settings_from_json(text)))
-        tables = resident_memory() - before
+        read_cpu = cpu_of(lambda: decoded.append(settings_from_json(text)))
+        tables_mb = resident_memory() - mb_before
         gateway = Gateway(decoded[0], 1)
         snapshot = build_list(range(backends), ListKind.FULL)
-        whole = cpu_of(lambda: gateway.handle(0, snapshot))
-        count = min(REQUESTS, max(MIN_REQUESTS, MAX_REQUEST_CLASSES // shape.classes))
-        requests = cpu_of(lambda: play_requests(gateway, 2 * SECOND, range(count), classes=shape.classes))
+        snapshot_cpu = cpu_of(lambda: gateway.handle(0, snapshot))
+        count = min(REQUEST_COUNT, max(MIN_REQUEST_COUNT, MAX_REQUESTS_TIMES_CLASSES // shape.classes))
+        requests_cpu = cpu_of(lambda: play_requests(gateway, 2 * SECOND, range(count), classes=shape.classes))
         return {
             "settings_b": float(len(text)),
-            "cpu_read_ms": read * 1e3,
-            "tables_mb": tables,
-            "cpu_list_ms": whole * 1e3,
-            "grown_mb": resident_memory() - before,
-            "cpu_request_us": requests / count * 1e6,
+            "cpu_read_ms": read_cpu * 1e3,
+            "tables_mb": tables_mb,
+            "cpu_list_ms": snapshot_cpu * 1e3,
+            "grown_mb": resident_memory() - mb_before,
+            "cpu_request_us": requests_cpu / count * 1e6,
         }
 
 
--- a/ingress_testbed/proc.py
+++ b/ingress_testbed/proc.py
@@ -1,4 +1,4 @@
-"""What a process has used, from /proc: CPU to the nanosecond, memory now and at its highest."""
+"""CPU time and memory of a process, read from /proc."""
 
 from __future__ import annotations
 
@@ -6,46 +6,48 @@
 import contextlib
 from pathlib import Path
 
-LOOK = 0.05  # s between looks whether a process has come to rest
-STILL = 0.0004  # s of CPU in one look under which it counts as resting
-LOOKS = 6  # at rest one after another
+POLL_INTERVAL = 0.05  # s between two readings of a process's CPU time
+IDLE_CPU = 0.0004  # s of CPU in one interval below which a process counts as idle
+IDLE_INTERVALS = 6  # consecutive idle intervals until the process counts as settled
 
 
 def cpu(pid: int) -> float:
-    """S of CPU, of all its threads alive, user and system; 0 for a process that is gone."""
-    used = 0
+    """Returns the seconds of CPU, user and system, of all live threads; 0 if the process does not exist."""
+    nanoseconds = 0
     for task in Path(f"/proc/{pid}/task").glob("*/schedstat"):
         with contextlib.suppress(OSError):
-            used += int(task.read_text().split()[0])
-    return used / 1e9
+            nanoseconds += int(task.read_text().split()[0])
+    return nanoseconds / 1e9
 
 
 def memory(pid: int) -> tuple[float, float]:
-    """MB resident now, and at the highest."""
-    held = {}
+    """Returns the resident memory in MB: the current value and the peak."""
+    resident_mb = {}
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         name, _, value = line.partition(":")
         if name in ("VmRSS", "VmHWM"):
-            held[name] = int(value.split()[0]) / 1024
-    return held["VmRSS"], held["VmHWM"]
+            resident_mb[name] = int(value.split()[0]) / 1024
+    return resident_mb["VmRSS"], resident_mb["VmHWM"]
 
 
-def runs(pid: int) -> bool:
-    """It wants the processor at this moment."""
+def is_running(pid: int) -> bool:
+    """Returns whether the process is running or runnable now; False if it does not exist."""
     with contextlib.suppress(OSError):
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "R"
     return False
 
 
-async def rest(pid: int, longest: float = 60.0) -> bool:
-    """Returns once the process has used next to nothing for a while; False if that never came."""
+async def wait_until_idle(pid: int, timeout: float = 60.0) -> bool:
+    """Waits until a process uses almost no CPU for IDLE_INTERVALS; returns False on a time-out (s)."""
     loop = asyncio.get_running_loop()
-    end, last, still = loop.time() + longest, cpu(pid), 0
+    end, last_cpu, idle_intervals = loop.time() + timeout, cpu(pid), 0
     while loop.time() < end:
-        await asyncio.sleep(LOOK)
-        now = cpu(pid)
-        still = still + 1 if now - last < STILL and not runs(pid) else 0
-        last = now
-        if still >= LOOKS:
+        await asyncio.sleep(POLL_INTERVAL)
+        current_cpu = cpu(pid)
+        idle_intervals = (
+            idle_intervals + 1 if current_cpu - last_cpu < IDLE_CPU and not is_running(pid) else 0
+        )
+        last_cpu = current_cpu
+        if idle_intervals >= IDLE_INTERVALS:
             return True
     return False
--- a/ingress_testbed/real.py
+++ b/ingress_testbed/real.py
@@ -1,4 +1,4 @@
-"""A real ingress: the program under test, started as the platform does, with a configuration made here."""
+"""Starts the ingress under test as the platform does, with a generated configuration."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from ingress_testbed import proc
 
 START_TIMEOUT = 90.0  # s
-PACKAGES = ("quota_ingress", "ironledge")  # the program's package, by today's name and that of commits before
-LISTENING_MARK = "listening on "  # of the log line that ends with the port
-MAX_MESSAGE_LENGTH = 60  # characters of a log line by which it is counted
+PACKAGES = ("quota_ingress", "ironledge")  # the ingress package: its current name, and that in older commits
+LISTENING_MARK = "listening on "  # part of the log line that ends with the port
+MAX_MESSAGE_LENGTH = 60  # characters; log lines with the same first ones are counted together
 
 
 class IngressStartError(RuntimeError):
-    """The ingress ended before it listened."""
+    """The ingress exited before it listened."""
 
 
 def package_of(program: Path) -> str:
-    """Returns the name of the package in `program` that is the ingress.
+    """Returns the name of the ingress package in the folder `program`.
 
     Raises:
-        FileNotFoundError: There is none.
+        FileNotFoundError: The folder contains none of PACKAGES.
     """
     for name in PACKAGES:
         if (program / name).is_dir():
             return name
-    raise FileNotFoundError(f"no program in {program}")
+    raise FileNotFoundError(f"{program} contains no ingress package, expected one of {PACKAGES}")
 
 
 class IngressProcess:
@@ -40,12 +40,12 @@
 
     Attributes:
         pid: Its process id.
-        port: Where it listens for clients, once it does.
-        log_counts: Lines of its log, counted by their message.
+        port: Its port for clients; 0 until it listens.
+        log_counts: Number of its log lines, by the start of the message.
     """
 
     def __init__(self, process: asyncio.subprocess.Process, config: Path) -> None:
-        """Wraps a process that was started with the file `config`."""
+        """Wraps a process that was started with the configuration file `config`."""
         self.pid = process.pid
         self.port = 0
         self.log_counts: Counter[str] = Counter()
@@ -57,11 +57,11 @@
     async def start(
         cls, program: Path, config: dict[str, Any], folder: Path, env: dict[str, str]
     ) -> IngressProcess:
-        """Starts an ingress, and returns once it listens.
+        """Starts an ingress with the configuration `config`, and returns once it listens.
 
         Raises:
-            IngressStartError: It ended.
-            TimeoutError: It does not listen within START_TIMEOUT.
+            IngressStartError: It exited before it listened.
+            TimeoutError: It did not listen within START_TIMEOUT.
         """
         path = folder / f"{config['name']}-{os.urandom(4).hex()}.json"
         path.write_text(json.dumps(config))
@@ -85,16 +85,16 @@
         return ingress
 
     def cpu(self) -> float:
-        """Returns the seconds of CPU that it has used."""
+        """Returns the seconds of CPU that the process has used."""
         return proc.cpu(self.pid)
 
     def reload(self, config: dict[str, Any]) -> None:
-        """Replaces its configuration, and sends SIGHUP."""
+        """Overwrites the configuration file, and sends SIGHUP to the process."""
         self._config.write_text(json.dumps(config))
         self._process.send_signal(signal.SIGHUP)
 
     async def stop(self) -> None:
-        """Kills it."""
+        """Kills the process if it still runs, and deletes the configuration file."""
         if self._log_reader:
             self._log_reader.cancel()
         if self._process.returncode is None:
@@ -108,8 +108,8 @@
             if LISTENING_MARK in line:
                 self.port = int(line.rpartition(":")[2])
                 return
-        log = ", ".join(self.log_counts) or "nothing in its log"
-        raise IngressStartError(f"the ingress ended: {log}")
+        log = ", ".join(self.log_counts) or "its log is empty"
+        raise IngressStartError(f"the ingress exited before it listened: {log}")
 
     async def _read_log(self) -> None:
         while line := await self._read_line():
--- a/ingress_testbed/results.py
+++ b/ingress_testbed/results.py
@@ -1,7 +1,8 @@
-"""One data file a run: JSON, versioned, written completely or not at all.
+"""The result file of a sweep: versioned JSON that is replaced atomically.
 
-A figure's unit is in its last word (`ms`, `us`, `s`, `mb`, `b` for bytes, `n` for a count, `part` of one).
-Figures with `cpu` are CPU time; other times are wall time and suffer from what else ran.
+A figure's unit is the last word of its name (`ms`, `us`, `s`, `mb`, `b` for bytes, `n` for a count, `part`
+for a fraction of one). Figures with `cpu` are CPU time; other times are wall time and depend on the machine's
+load.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 
 from ingress_testbed.slopes import MIN_SIZES, Slope, fit_line, medians
 
-FORMAT = "fleetlab sweep"  # as in the files that earlier versions wrote
+FORMAT = "fleetlab sweep"  # stays: files of earlier versions have it
 VERSION = 1
 FILE_MODE = 0o644
 
 
 class ResultError(Exception):
-    """The file cannot be read as a result of this version."""
+    """The file is not a readable result file of FORMAT and VERSION."""
 
 
 class Point(msgspec.Struct):
@@ -33,22 +34,22 @@
 
 
 class Result(msgspec.Struct):
-    """A run and its figures. The keys of the file are kept where attributes have other names.
+    """A sweep and its figures. Keys of the file that differ from the attribute are set by `msgspec.field`.
 
     Attributes:
-        experiment: Its name.
-        command: The command that played it.
+        experiment: Name of the experiment.
+        command: The command line that ran the sweep.
         program: The commit of the ingress that was measured.
-        is_modified: Whether its tree differed from that commit.
+        is_modified: Whether the ingress's source differed from that commit.
         size_name: What the sizes count.
-        seed: Of all draws.
-        started: When it began, in UTC.
-        machine: The machine's properties.
-        options: The experiment's options.
-        points: Each repetition at each size.
-        medians: By figure, then by size.
-        slopes: By figure, where three sizes or more were played.
-        is_complete: Whether it was not stopped early.
+        seed: Seed of all random draws.
+        started: Start time in UTC, ISO 8601.
+        machine: Properties of the machine, by name.
+        options: Values of the experiment's options.
+        points: The figures of each repetition at each size.
+        medians: Median over the repetitions, by figure, then by size.
+        slopes: Fitted line by figure, for figures with MIN_SIZES sizes or more.
+        is_complete: Whether all repetitions at all sizes were played.
         format: FORMAT.
         version: VERSION.
     """
@@ -70,7 +71,7 @@
     version: int = VERSION
 
     def update_statistics(self) -> None:
-        """Computes medians and slopes from the points."""
+        """Recomputes `medians` and `slopes` from `points`."""
         series: dict[str, list[tuple[float, float]]] = {}
         for point in self.points:
             for name, value in point.figures.items():
@@ -85,7 +86,7 @@
 
 
 def write(result: Result, path: Path) -> None:
-    """Writes a file beside `path` that takes its place at the end: a reader sees the old or the new one."""
+    """Writes a temporary file and renames it to `path`: readers see either the old or the new content."""
     text = msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n"
     handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
@@ -100,10 +101,10 @@
 
 
 def read(path: Path) -> Result:
-    """Reads a result.
+    """Reads a result file.
 
     Raises:
-        ResultError: It is no result, or one of another version; the message is one line.
+        ResultError: The file is unreadable, malformed or of another version; the message is one line.
     """
     try:
         result = msgspec.json.decode(path.read_bytes(), type=Result)
--- a/ingress_testbed/slopes.py
+++ b/ingress_testbed/slopes.py
@@ -1,4 +1,4 @@
-"""A straight line through measurements at three sizes or more, with its error and a verdict on the fit."""
+"""Fits a line to measurements at MIN_SIZES sizes or more, with its error and a verdict on the fit."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 import numpy as np
 
 MIN_SIZES = 3
-MAX_BEND = 0.35  # part of the slope by which it may change between the sizes, beyond the scatter
-MIN_RISE = 0.05  # part of the mean: a smaller rise over all the sizes is none
-MAX_FLAT_SPREAD = 0.5  # part of the mean: values further apart hide what a slope would be
-MAX_OFFSET = 0.2  # part of the figure's span by which a size may lie off the line, beyond the scatter
-MAX_RELATIVE_ERROR = 0.25  # part of the slope
+MAX_BEND = 0.35  # change of slope between the sizes beyond the scatter, as a fraction of the slope
+MIN_RISE = 0.05  # rise over all sizes below which a line counts as flat, as a fraction of the mean
+MAX_FLAT_SPREAD = 0.5  # range of values above which a slope cannot be told, as a fraction of the mean
+MAX_OFFSET = 0.2  # distance of a size from the line beyond the scatter, as a fraction of the figure's range
+MAX_RELATIVE_ERROR = 0.25  # standard error, as a fraction of the slope
 SIGNIFICANCE = 2  # standard errors
 
 FIT_LINE = "line"
@@ -26,19 +26,19 @@
 
 
 class TooFewSizesError(ValueError):
-    """A slope needs measurements at more sizes."""
+    """The measurements are at fewer than MIN_SIZES sizes."""
 
 
 class Slope(msgspec.Struct, frozen=True):
     """figure = intercept + slope * size. The field names are those of the result files.
 
     Attributes:
-        slope: Of the line.
+        slope: Slope of the line, in units of the figure per unit of size.
         error: Standard error of the slope.
-        intercept: Of the line.
+        intercept: Value of the line at size 0.
         r2: Coefficient of determination.
-        fit: `line`; `flat` (no growth to speak of, or none that stands out from a small scatter); or `poor`.
-        why: What is wrong with a poor fit.
+        fit: `line`; `flat` (no significant growth, and a small scatter); or `poor`.
+        why: Why the fit is poor; empty for the others.
     """
 
     slope: float
@@ -49,35 +49,35 @@
     why: str = ""
 
     def at(self, size: float) -> float:
-        """Returns the figure that the line gives for `size`."""
+        """Returns the value of the line at `size`."""
         return self.intercept + self.slope * size
 
 
 class _Verdict(NamedTuple):
-    """Whether measurements lie on a line, and why not."""
+    """The verdict on a fit (`line`, `flat` or `poor`), and the reason if it is poor."""
 
     fit: str
     why: str = ""
 
 
 class _Segment(NamedTuple):
-    """The slope between the medians of two sizes, and how far the scatter lets it be off."""
+    """The slope between the medians of two sizes, and its uncertainty from the scatter."""
 
     slope: float
     uncertainty: float
 
 
 def medians(points: Sequence[Measurement]) -> dict[float, float]:
-    """Returns, by size, the median of its repetitions."""
+    """Returns the median of each size's repetitions, by size in ascending order."""
     sizes = sorted({size for size, _ in points})
     return {size: statistics.median(v for s, v in points if s == size) for size in sizes}
 
 
 def fit_line(points: Sequence[Measurement]) -> Slope:
-    """Fits a line to all points by least squares.
+    """Fits a line to all points by least squares, and judges the fit.
 
     Raises:
-        TooFewSizesError: There are fewer than three sizes.
+        TooFewSizesError: There are fewer than MIN_SIZES sizes.
     """
     size_count = len(medians(points))
     if size_count < MIN_SIZES:
@@ -97,7 +97,7 @@
 
 
 def _judge(points: Sequence[Measurement], slope: float, error: float, intercept: float) -> _Verdict:
-    """Returns whether a line describes the points."""
+    """Returns whether the points are described by the line, by a constant, or by neither."""
     by_size = medians(points)
     sizes = list(by_size)
     mean = statistics.fmean(abs(value) for value in by_size.values())
@@ -134,6 +134,6 @@
 
 
 def _scatter(points: Sequence[Measurement], size: float) -> float:
-    """Returns the standard deviation of a size's repetitions; 0 for one."""
+    """Returns the standard deviation of a size's repetitions; 0 for a single one."""
     values = [v for s, v in points if s == size]
     return statistics.stdev(values) if len(values) > 1 else 0.0
--- a/ingress_testbed/sweep.py
+++ b/ingress_testbed/sweep.py
@@ -1,4 +1,4 @@
-"""Plays an experiment over its sizes, several times each, and keeps what was played in one result file."""
+"""Runs an experiment at several sizes, several times each, and writes the figures to one result file."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from ingress_testbed.results import Point, Result, write
 from ingress_testbed.worker import PROJECT_ROOT
 
-Report = Callable[[Point, float], None]  # called with each play and the seconds that it took
+Report = Callable[[Point, float], None]  # called with each repetition's point and its duration in s
 
 
 class ProgramError(Exception):
-    """There is no such commit, or no program in it."""
+    """The commit does not exist, or it contains no ingress package."""
 
 
 class SweepInterruptedError(Exception):
-    """Ctrl-C came: the result holds what was played so far."""
+    """SIGINT stopped the sweep; the result file holds the repetitions that were finished."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,9 +40,9 @@
     """The ingress under test.
 
     Attributes:
-        root: The folder of its package.
-        commit: The commit that holds it.
-        is_modified: Whether it differs from that commit.
+        root: The folder that contains its package.
+        commit: Abbreviated id of the commit that it comes from.
+        is_modified: Whether the work tree differs from that commit.
     """
 
     root: Path
@@ -52,16 +52,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """What is to be played.
+    """The parameters of a sweep.
 
     Attributes:
-        experiment: What to play.
-        sizes: At which sizes.
-        repetitions: How often each.
-        seed: Of all draws.
-        options: The experiment's options.
-        commit: The commit of the ingress under test; None for this tree's own.
-        command: The command that plays it, for the result.
+        experiment: The experiment to run.
+        sizes: The sizes to run it at.
+        repetitions: Repetitions at each size.
+        seed: Seed of all random draws.
+        options: Values of the experiment's options.
+        commit: The commit of the ingress under test; None for the work tree.
+        command: The equivalent command line, for the result file.
     """
 
     experiment: Experiment
@@ -74,11 +74,11 @@
 
 
 def play(sweep: Sweep, path: Path, report: Report = lambda point, seconds: None) -> Result:
-    """Plays a sweep; writes the result to `path` after each play, each time completely.
+    """Runs a sweep, and replaces the result file `path` after each repetition.
 
     Raises:
-        SweepInterruptedError: Ctrl-C came.
-        ProgramError: There is no ingress to test.
+        SweepInterruptedError: SIGINT was received.
+        ProgramError: The commit does not exist, or it contains no ingress package.
     """
 
     async def play_until_interrupted() -> Result:
@@ -95,10 +95,10 @@
 
 @contextmanager
 def checked_out(commit: str | None) -> Iterator[Program]:
-    """Provides the ingress under test: this tree's own, or a temporary copy of what `commit` holds.
+    """Provides the ingress under test: the work tree's, or a temporary checkout of `commit`.
 
     Raises:
-        ProgramError: There is no such commit, or no program in it.
+        ProgramError: The commit does not exist, or it contains no ingress package.
     """
     if commit is None:
         is_modified = bool(_git("status", "--porcelain", "--", "quota_ingress"))
@@ -108,7 +108,7 @@
     name = _git("rev-parse", "--short=10", "--verify", f"{commit}^{{commit}}")
     packages = [package for package in _git("ls-tree", "--name-only", name).split() if package in PACKAGES]
     if not packages:
-        raise ProgramError(f"commit {name} has no program")
+        raise ProgramError(f"commit {name} contains no ingress package, expected one of {PACKAGES}")
     command = ["git", "archive", name, *packages]
     archive = subprocess.run(command, cwd=PROJECT_ROOT, capture_output=True, check=True)
     with tempfile.TemporaryDirectory() as folder, tarfile.open(fileobj=BytesIO(archive.stdout)) as files:
@@ -121,11 +121,11 @@
         result = _empty_result(sweep, program)
         rng = random.Random(sweep.seed)
         write(result, path)
-        # Every size in turn, so that a busy time of the machine does not spoil a single size.
+        # Sizes alternate, so that a period of high load on the machine does not distort all runs of one size.
         for repetition in range(sweep.repetitions):
             for size in sweep.sizes:
                 seed = rng.getrandbits(32)
-                began = time.monotonic()
+                started_at = time.monotonic()
                 async with Lab(program.root, seed, sweep.options, Path(caches)) as lab:
                     figures = await sweep.experiment.play(lab, size)
                 point = Point(size, repetition, figures)
@@ -133,7 +133,7 @@
                 result.update_statistics()
                 result.is_complete = len(result.points) == sweep.repetitions * len(sweep.sizes)
                 write(result, path)
-                report(point, time.monotonic() - began)
+                report(point, time.monotonic() - started_at)
         return result
 
 
@@ -163,7 +163,7 @@
 
 def _git(*arguments: str) -> str:
     command = ["git", *arguments]
-    done = subprocess.run(command, cwd=PROJECT_ROOT, capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise ProgramError(done.stderr.strip().splitlines()[-1])
-    return done.stdout.strip()
+    completed = subprocess.run(command, cwd=PROJECT_ROOT, capture_output=True, text=True, check=False)
+    if completed.returncode:
+        raise ProgramError(completed.stderr.strip().splitlines()[-1])
+    return completed.stdout.strip()
