--- a/ingress_testbed/experiments/fleet.py
+++ b/ingress_testbed/experiments/fleet.py
@@ -1,4 +1,4 @@
-"""What a fleet costs discovery and the counter: hollow ingresses beside two real ones."""
+"""Experiments on the load that a fleet puts on discovery and the counter: hollow and two real ingresses."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 REAL_INGRESSES = 2
 HOLLOW_PER_WORKER = 100
-START_INTERVAL = 0.01  # s between the starts of two hollow ingresses of a worker
-CHANGE_INTERVAL = 0.1  # s
+START_INTERVAL = 0.01  # s between the starts of two hollow ingresses in one worker
+CHANGE_INTERVAL = 0.1  # s between two changes of the list
 POLL_INTERVAL = 0.1  # s
-SETTLING_TIME = 1.0  # s after a start or after changes
+SETTLING_TIME = 1.0  # s to wait after a start or after changes, before the next measurement
 
-Counts = dict[str, int]  # as hosts count them, by name
+Counts = dict[str, int]  # result of a host's `counts`, by name
 
 
 class Fleet:
-    """All processes of one play.
+    """All processes of one repetition.
 
     Attributes:
-        lab: Starts them.
-        hollow_count: Hollow ingresses.
-        ingress_count: All ingresses.
-        discovery: Its worker.
-        counter: Its worker.
-        hollow_workers: Workers with a part of the hollow ingresses each.
+        lab: Starts the processes.
+        hollow_count: Number of hollow ingresses.
+        ingress_count: Number of all ingresses, hollow and real.
+        discovery: The worker of discovery.
+        counter: The worker of the counter.
+        hollow_workers: The workers of the hollow ingresses, HOLLOW_PER_WORKER in each.
         real: The real ingresses.
-        empty_discovery_mb: Memory of the discovery before any ingress watched.
-        start_cpu: Seconds of discovery's CPU for the starts of the hollow ingresses.
-        start_bytes: Sent by discovery meanwhile.
+        empty_discovery_mb: Memory of discovery before any ingress watched the list.
+        start_cpu: Seconds of CPU that discovery used while the hollow ingresses started.
+        start_bytes: Bytes that discovery sent in that time.
     """
 
     discovery: Worker
@@ -48,28 +48,28 @@
     start_bytes: int
 
     def __init__(self, lab: Lab, hollow_count: int) -> None:
-        """Starts nothing before `start`."""
+        """Plans a fleet of `hollow_count` hollow and REAL_INGRESSES real ingresses; `start` starts it."""
         self.lab = lab
         self.hollow_count = hollow_count
         self.ingress_count = hollow_count + REAL_INGRESSES
         self.hollow_workers: list[Worker] = []
 
     async def start(self) -> None:
-        """Returns once every ingress watches the list.
+        """Starts all processes, and returns once every ingress watches the endpoint list.
 
         Raises:
-            ExperimentError: Some do not come to watch it.
+            ExperimentError: Some ingresses do not watch it within the time-out of `wait_for`.
         """
         lab = self.lab
-        self.discovery, discovery_port = await lab.discovery(lab.option("backends"), UNUSED_PORT)
+        self.discovery, discovery_port = await lab.start_discovery(lab.option("backends"), UNUSED_PORT)
         self.empty_discovery_mb, _ = proc.memory(self.discovery.pid)
-        self.counter, counter_port = await lab.counter()
+        self.counter, counter_port = await lab.start_counter()
         self.real = []
         for number in range(self.hollow_count, self.ingress_count):
             shape = Shape(fleet_size=self.ingress_count, gateway_index=number)
-            self.real.append(await lab.ingress(shape, discovery_port, counter_port))
+            self.real.append(await lab.start_ingress(shape, discovery_port, counter_port))
         for _ in range(0, self.hollow_count, HOLLOW_PER_WORKER):
-            self.hollow_workers.append(await lab.worker("ingress_testbed.hollow:HollowFleet"))
+            self.hollow_workers.append(await lab.start_worker("ingress_testbed.hollow:HollowFleet"))
         await self._start_hollow(discovery_port, counter_port)
 
     async def _start_hollow(self, discovery_port: int, counter_port: int) -> None:
@@ -90,56 +90,58 @@
         counts_before = await self.discovery_counts()
         await asyncio.gather(*starts)
         if not await self.wait_for(lambda counts: counts["watches"] >= self.ingress_count):
-            raise ExperimentError("not every ingress came to watch")
+            raise ExperimentError(
+                f"not all of {self.ingress_count} ingresses started to watch the endpoint list"
+            )
         counts = await self.discovery_counts()
         self.start_cpu = proc.cpu(self.discovery.pid) - cpu_before
         self.start_bytes = counts["sent"] - counts_before["sent"]
 
     async def discovery_counts(self) -> Counts:
-        """Returns what discovery has counted so far."""
+        """Returns the totals of discovery since its start; see `DiscoveryHost.counts`."""
         counts: Counts = await self.discovery.call("counts")
         return counts
 
     async def counter_counts(self) -> Counts:
-        """Returns what the counter has counted so far."""
+        """Returns the totals of the counter since its start; see `CounterHost.counts`."""
         counts: Counts = await self.counter.call("counts")
         return counts
 
-    async def wait_for(self, holds: Callable[[Counts], bool], timeout: float = 60.0) -> bool:
-        """Returns True once `holds` of discovery's counts, or False after `timeout` seconds."""
+    async def wait_for(self, condition: Callable[[Counts], bool], timeout: float = 60.0) -> bool:
+        """Waits until `condition` holds for discovery's counts; returns False after `timeout` seconds."""
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout
-        while not holds(await self.discovery_counts()):
+        while not condition(await self.discovery_counts()):
             if loop.time() > end:
                 return False
             await asyncio.sleep(POLL_INTERVAL)
         return True
 
-    async def delays(self, version: int, since: float, timeout: float = 30.0) -> list[float]:
-        """Returns the seconds from `since` until that version was in force, in order.
+    async def in_force_delays(self, version: int, since: float, timeout: float = 30.0) -> list[float]:
+        """Returns the sorted seconds from `since` until hollow ingresses applied `version` or a later one.
 
-        There is one for each hollow ingress that has it within `timeout` seconds.
+        Ingresses that have not applied it within `timeout` seconds are left out.
         """
         end = time.monotonic() + timeout
         while True:
-            moments: list[float] = []
+            applied_at: list[float] = []
             for worker in self.hollow_workers:
-                moments += await worker.call("in_force", version=version)
-            if len(moments) >= self.hollow_count or time.monotonic() > end:
-                return sorted(moment - since for moment in moments)
+                applied_at += await worker.call("in_force", version=version)
+            if len(applied_at) >= self.hollow_count or time.monotonic() > end:
+                return sorted(at - since for at in applied_at)
             await asyncio.sleep(POLL_INTERVAL)
 
 
 @dataclass(frozen=True, slots=True)
 class _IdleCost:
-    """Seconds of CPU a second while nothing changes and nobody asks."""
+    """Seconds of CPU per second of discovery and the counter, without changes and requests."""
 
     discovery: float
     counter: float
 
 
-async def fan_out(lab: Lab, size: int) -> Figures:
-    """Plays changes of the list, a lost zone and requests to a fleet of `size` hollow ingresses."""
+async def measure_fleet(lab: Lab, size: int) -> Figures:
+    """Measures a fleet of `size` hollow ingresses: idle, under list changes, a lost zone and requests."""
     fleet = Fleet(lab, size)
     await fleet.start()
     await asyncio.sleep(SETTLING_TIME)
@@ -160,7 +162,7 @@
         "discovery_starts_b": float(fleet.start_bytes),
     }
     figures |= await _play_changes(fleet, idle)
-    figures |= await _lose_zone(fleet)
+    figures |= await _remove_zone(fleet)
     figures |= await _play_requests(fleet, idle)
     hollow_mb = [proc.memory(worker.pid)[0] for worker in fleet.hollow_workers]
     return figures | {"hollow_mb_each": sum(hollow_mb) / size}
@@ -176,24 +178,24 @@
 
 
 async def _play_changes(fleet: Fleet, idle: _IdleCost) -> Figures:
-    """Plays one backend a line, a line after another."""
+    """Sends change lines one after another, with one backend each, and measures their cost and delay."""
     lines = fleet.lab.option("lines")
     counts_before = await fleet.discovery_counts()
     cpu_before = proc.cpu(fleet.discovery.pid)
-    real_before = sum(ingress.cpu() for ingress in fleet.real)
-    began = time.monotonic()
-    changed_at: dict[int, float] = {}  # by version
+    real_cpu_before = sum(ingress.cpu() for ingress in fleet.real)
+    started_at = time.monotonic()
+    changed_at: dict[int, float] = {}  # s of the monotonic clock, by version
     for _ in range(lines):
         since = time.monotonic()
         changed_at[await fleet.discovery.call("change")] = since
         await asyncio.sleep(CHANGE_INTERVAL)
-    seconds = time.monotonic() - began + SETTLING_TIME
+    seconds = time.monotonic() - started_at + SETTLING_TIME
     await asyncio.sleep(SETTLING_TIME)
     cpu = proc.cpu(fleet.discovery.pid) - cpu_before - idle.discovery * seconds
-    real_cpu = sum(ingress.cpu() for ingress in fleet.real) - real_before
+    real_cpu = sum(ingress.cpu() for ingress in fleet.real) - real_cpu_before
     delays: list[float] = []
     for version, since in changed_at.items():
-        delays += await fleet.delays(version, since)
+        delays += await fleet.in_force_delays(version, since)
     delays.sort()
     counts = await fleet.discovery_counts()
     return {
@@ -207,12 +209,12 @@
     }
 
 
-async def _lose_zone(fleet: Fleet) -> Figures:
-    """Takes the backends of a zone off the list, in one line."""
+async def _remove_zone(fleet: Fleet) -> Figures:
+    """Removes as many backends as a zone has in one change line, and measures its cost and delay."""
     cpu_before = proc.cpu(fleet.discovery.pid)
     since = time.monotonic()
     version = await fleet.discovery.call("remove", fraction=ZONE_FRACTION)
-    delays = await fleet.delays(version, since)
+    delays = await fleet.in_force_delays(version, since)
     return {
         "discovery_cpu_zone_ms": (proc.cpu(fleet.discovery.pid) - cpu_before) * 1e3,
         "zone_in_force_max_ms": delays[-1] * 1e3,
@@ -221,13 +223,13 @@
 
 
 async def _play_requests(fleet: Fleet, idle: _IdleCost) -> Figures:
-    """Plays requests at each hollow ingress; how often it calls the counter is the policy's own pacing."""
+    """Sends requests to each hollow ingress and measures the counter; the policy paces the calls to it."""
     lab = fleet.lab
     seconds = lab.options["seconds"]
     counts_before = await fleet.counter_counts()
     cpu_before = proc.cpu(fleet.counter.pid)
-    began = time.monotonic()
-    plays = [
+    started_at = time.monotonic()
+    request_runs = [
         worker.call(
             "requests",
             customers=lab.option("customers"),
@@ -237,8 +239,8 @@
         )
         for worker in fleet.hollow_workers
     ]
-    answers = await asyncio.gather(*plays)
-    duration = time.monotonic() - began
+    answers = await asyncio.gather(*request_runs)
+    duration = time.monotonic() - started_at
     counts = await fleet.counter_counts()
     calls = counts["adds"] - counts_before["adds"]
     served = sum(answer["served"] for answer in answers)
@@ -255,31 +257,31 @@
     }
 
 
-async def reconnect(lab: Lab, size: int) -> Figures:
-    """Ends all watches at once; discovery answers only so many calls a second until all watch again."""
+async def measure_reconnect(lab: Lab, size: int) -> Figures:
+    """Aborts all watches at once, and measures their return to a discovery that limits calls per second."""
     fleet = Fleet(lab, size)
     await fleet.start()
-    before = await fleet.discovery_counts()
+    counts_before = await fleet.discovery_counts()
     await fleet.discovery.call("set_capacity", capacity=lab.option("capacity"))
     cpu_before = proc.cpu(fleet.discovery.pid)
     since = time.monotonic()
     version = await fleet.discovery.call("change")
     await fleet.discovery.call("abort_watches")
     await fleet.discovery.call("change")
-    is_back = await fleet.wait_for(
+    is_every_watch_back = await fleet.wait_for(
         lambda counts: counts["watches"] >= fleet.ingress_count, timeout=lab.option("longest")
     )
     duration = time.monotonic() - since
-    after = await fleet.discovery_counts()
-    delays = await fleet.delays(version + 1, since, timeout=1.0)
+    counts_after = await fleet.discovery_counts()
+    delays = await fleet.in_force_delays(version + 1, since, timeout=1.0)
     return {
         "back_s": duration,
-        "back_n": float(is_back),
-        "calls_each_n": (after["calls"] - before["calls"]) / fleet.ingress_count,
-        "turned_away_n": float(after["rejected"] - before["rejected"]),
-        "lists_n": float(after["lists"] - before["lists"]),
+        "back_n": float(is_every_watch_back),
+        "calls_each_n": (counts_after["calls"] - counts_before["calls"]) / fleet.ingress_count,
+        "turned_away_n": float(counts_after["rejected"] - counts_before["rejected"]),
+        "lists_n": float(counts_after["lists"] - counts_before["lists"]),
         "discovery_cpu_ms": (proc.cpu(fleet.discovery.pid) - cpu_before) * 1e3,
-        "sent_b": float(after["sent"] - before["sent"]),
+        "sent_b": float(counts_after["sent"] - counts_before["sent"]),
         "in_force_p50_s": delays[len(delays) // 2] if delays else 0.0,
         "in_force_max_s": delays[-1] if delays else 0.0,
         "in_force_part": len(delays) / size,
@@ -290,15 +292,15 @@
     Experiment(
         "fleet",
         "hollow ingresses",
-        "what a fleet costs discovery and the counter",
-        fan_out,
+        "the cost of a fleet for discovery and the counter",
+        measure_fleet,
         {"backends": 400, "rate": 5, "customers": 2000, "spread": 20, "idle": 4, "lines": 40, "seconds": 8},
     ),
     Experiment(
         "reconnect",
         "hollow ingresses",
-        "every watch cut at once before a discovery of fixed capacity",
-        reconnect,
+        "all watches aborted at once, with a discovery that limits calls per second",
+        measure_reconnect,
         {"backends": 400, "capacity": 100, "longest": 120},
     ),
 )
--- a/ingress_testbed/experiments/quotas.py
+++ b/ingress_testbed/experiments/quotas.py
@@ -1,4 +1,4 @@
-"""What a whole fleet admits of its customers' quotas, and beyond them, by what the counter can answer."""
+"""An experiment on the requests that a fleet admits within and beyond quotas, by the counter's capacity."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from ingress_testbed.lab import Lab
 
 
-async def quotas(lab: Lab, size: int) -> Figures:
-    """Plays a fleet in simulated time; `size` is the calls a second that the counter can answer."""
-    worker = await lab.worker("ingress_testbed.quota_day:Host")
+async def measure_quotas(lab: Lab, size: int) -> Figures:
+    """Simulates a fleet's day; `size` is the counter's capacity in calls per second."""
+    worker = await lab.start_worker("ingress_testbed.quota_day:Host")
     figures: Figures = await worker.call(
         "play",
         calls_per_s=size,
@@ -23,8 +23,8 @@
     Experiment(
         "quotas",
         "calls a second that the counter can answer",
-        "quotas of a fleet, in simulated time",
-        quotas,
+        "admission within and beyond a fleet's quotas, in simulated time",
+        measure_quotas,
         {"fleet_size": 200.0, "seconds": 20.0},
     ),
 )
--- a/ingress_testbed/experiments/requests.py
+++ b/ingress_testbed/experiments/requests.py
@@ -1,4 +1,4 @@
-"""What requests cost a real process, and the connections they travel on."""
+"""Experiments on the cost of requests in a real process, and on its connections to backends."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from ingress_testbed.real import IngressProcess
 from ingress_testbed.worker import Worker
 
-WARM_UP = 3.0  # s of requests before the figures count
-DIRECT_TIME = 2.0  # s of requests straight to a backend
+WARM_UP = 3.0  # s of requests before the measurement
+DIRECT_TIME = 2.0  # s of requests sent to a backend without the ingress
 
 
-async def request_rate(lab: Lab, size: int) -> Figures:
-    """Plays `size` requests a second."""
+async def measure_request_rate(lab: Lab, size: int) -> Figures:
+    """Measures `size` requests per second."""
     return await _play(lab, size, lab.option("backends"))
 
 
-async def reuse(lab: Lab, size: int) -> Figures:
-    """Plays requests to `size` backends."""
+async def measure_reuse(lab: Lab, size: int) -> Figures:
+    """Measures requests to `size` backends."""
     return await _play(lab, lab.option("rate"), size)
 
 
 @dataclass(frozen=True, slots=True)
 class _Usage:
-    """What had been used and counted at a moment.
+    """Totals of CPU use and of the hosts' counts at one time.
 
     Attributes:
-        at: Seconds of the loop's clock.
-        cpu: Seconds of the ingress's CPU.
-        backends: The backends' counts.
-        counter: The counter's counts.
+        at: When they were read, in seconds of the loop's clock.
+        cpu: Seconds of CPU that the ingress has used.
+        backends: Counts of the backends.
+        counter: Counts of the counter.
     """
 
     at: float
@@ -45,31 +45,37 @@
 
 
 async def _play(lab: Lab, rate: int, backend_count: int) -> Figures:
-    """Plays open-loop clients through a real process to backends that answer at once.
+    """Measures open-loop clients that send through a real process to backends that answer at once.
 
-    Then it plays the same straight to a backend, for the latency that the ingress adds (wall time: it suffers
-    from what else runs).
+    The same load is then sent directly to a backend. The difference is the latency that the ingress adds; it
+    is wall time and depends on the machine's load.
     """
-    backends, backends_port = await lab.backends()
-    _, discovery_port = await lab.discovery(backend_count, backends_port)
-    counter, counter_port = await lab.counter()
-    ingress = await lab.ingress(Shape(fleet_size=lab.option("fleet_size")), discovery_port, counter_port)
+    backends, backends_port = await lab.start_backends()
+    _, discovery_port = await lab.start_discovery(backend_count, backends_port)
+    counter, counter_port = await lab.start_counter()
+    ingress = await lab.start_ingress(
+        Shape(fleet_size=lab.option("fleet_size")), discovery_port, counter_port
+    )
     await proc.wait_until_idle(ingress.pid, timeout=2.0)
-    clients = await lab.worker("ingress_testbed.load:LoadHost")
-    load = {"rate": rate, "customers": lab.option("customers"), "spread": lab.option("spread")}
-    await clients.call("run", port=ingress.port, seconds=WARM_UP, seed=lab.seed, **load)
+    clients = await lab.start_worker("ingress_testbed.load:LoadHost")
+    load_options = {"rate": rate, "customers": lab.option("customers"), "spread": lab.option("spread")}
+    await clients.call("run", port=ingress.port, seconds=WARM_UP, seed=lab.seed, **load_options)
     idle_cpu = await _idle_cpu(ingress)
     before = await _usage(ingress, backends, counter)
     seconds = lab.option("seconds")
-    played = await clients.call("run", port=ingress.port, seconds=seconds, seed=lab.seed + 1, **load)
+    through_ingress = await clients.call(
+        "run", port=ingress.port, seconds=seconds, seed=lab.seed + 1, **load_options
+    )
     after = await _usage(ingress, backends, counter)
-    direct = await clients.call("run", port=backends_port, seconds=DIRECT_TIME, seed=lab.seed + 2, **load)
+    direct = await clients.call(
+        "run", port=backends_port, seconds=DIRECT_TIME, seed=lab.seed + 2, **load_options
+    )
     rss, _ = proc.memory(ingress.pid)
-    return _figures(before, after, idle_cpu, played, direct) | {"rss_mb": rss}
+    return _figures(before, after, idle_cpu, through_ingress, direct) | {"rss_mb": rss}
 
 
 async def _idle_cpu(ingress: IngressProcess) -> float:
-    """Returns the seconds of CPU a second without requests."""
+    """Returns the seconds of CPU that the ingress uses per second without requests."""
     before = ingress.cpu()
     await asyncio.sleep(1.0)
     return ingress.cpu() - before
@@ -82,9 +88,9 @@
 
 
 def _figures(
-    before: _Usage, after: _Usage, idle_cpu: float, played: dict[str, Any], direct: dict[str, Any]
+    before: _Usage, after: _Usage, idle_cpu: float, through_ingress: dict[str, Any], direct: dict[str, Any]
 ) -> Figures:
-    sent = played["sent_n"]
+    sent = through_ingress["sent_n"]
     seconds = after.at - before.at
     cpu = after.cpu - before.cpu - idle_cpu * seconds
     counter_calls = after.counter["adds"] - before.counter["adds"]
@@ -94,12 +100,12 @@
     return {
         "cpu_request_us": cpu / sent * 1e6,
         "cpu_idle_ms_per_s": idle_cpu * 1e3,
-        "added_p50_ms": played["p50_ms"] - direct["p50_ms"],
-        "added_p99_ms": played["p99_ms"] - direct["p99_ms"],
+        "added_p50_ms": through_ingress["p50_ms"] - direct["p50_ms"],
+        "added_p99_ms": through_ingress["p99_ms"] - direct["p99_ms"],
         "direct_p99_ms": direct["p99_ms"],
-        "served_part": played["served_n"] / sent,
-        "refused_part": played["refused_n"] / sent,
-        "unanswered_n": played["unanswered_n"],
+        "served_part": through_ingress["served_n"] / sent,
+        "refused_part": through_ingress["refused_n"] / sent,
+        "unanswered_n": through_ingress["unanswered_n"],
         "counter_calls_per_request_n": counter_calls / sent,
         "counter_calls_per_s_n": counter_calls / seconds,
         "counter_b_per_s": counter_bytes / seconds,
@@ -114,15 +120,15 @@
     Experiment(
         "request-rate",
         "requests a second",
-        "a real process under requests",
-        request_rate,
+        "the cost of requests in a real process",
+        measure_request_rate,
         REQUEST_OPTIONS | {"backends": 96},
     ),
     Experiment(
         "reuse",
         "backends",
-        "connections to backends, by the list's size",
-        reuse,
+        "reuse of connections to backends, by the number of backends",
+        measure_reuse,
         REQUEST_OPTIONS | {"rate": 200},
     ),
 )
--- a/ingress_testbed/lab.py
+++ b/ingress_testbed/lab.py
@@ -56,14 +56,14 @@
         """Returns the value of an option, truncated to an integer."""
         return int(self.options[name])
 
-    async def worker(self, target: str) -> Worker:
+    async def start_worker(self, target: str) -> Worker:
         """Starts a worker with the host `target` (`module:Class`)."""
         self._count_process()
         worker = await Worker.start(target, self.program, self._env)
         self._exit_stack.push_async_callback(worker.stop)
         return worker
 
-    async def ingress(
+    async def start_ingress(
         self,
         shape: Shape,
         discovery: int,
@@ -99,20 +99,20 @@
         counter_address = f"{HOST}:{counter}"
         return configuration(shape, discovery_address, counter_address, endpoints=endpoints, version=version)
 
-    async def discovery(self, backends: int, port: int, capacity: float = 0.0) -> tuple[Worker, int]:
+    async def start_discovery(self, backends: int, port: int, capacity: float = 0.0) -> tuple[Worker, int]:
         """Starts a discovery that lists `backends` backends at `port`; returns its worker and port."""
-        worker = await self.worker("ingress_testbed.hosts:DiscoveryHost")
+        worker = await self.start_worker("ingress_testbed.hosts:DiscoveryHost")
         own_port = await worker.call("start", backends=backends, port=port, seed=self.seed, capacity=capacity)
         return worker, int(own_port)
 
-    async def counter(self) -> tuple[Worker, int]:
+    async def start_counter(self) -> tuple[Worker, int]:
         """Starts a counter; returns its worker and its port."""
-        worker = await self.worker("ingress_testbed.hosts:CounterHost")
+        worker = await self.start_worker("ingress_testbed.hosts:CounterHost")
         return worker, int(await worker.call("start"))
 
-    async def backends(self, work: float = 0.0) -> tuple[Worker, int]:
+    async def start_backends(self, work: float = 0.0) -> tuple[Worker, int]:
         """Starts backends that answer each request after `work` seconds; returns their worker and port."""
-        worker = await self.worker("ingress_testbed.hosts:BackendsHost")
+        worker = await self.start_worker("ingress_testbed.hosts:BackendsHost")
         return worker, int(await worker.call("start", work=work))
 
     def _count_process(self) -> None:
--- a/ingress_testbed/quota_day.py
+++ b/ingress_testbed/quota_day.py
@@ -2,7 +2,7 @@
 
 Events are handled in the order of their simulated times (microseconds) from one queue, and every draw comes
 from one seed, so that the same seed gives the same figures. Each gateway is the real `Gateway`. Backends
-answer well within the latency objective, so that all rejections and requests beyond a quota are due to quotas.
+answer well within the latency objective, so that only the quotas cause rejections and requests beyond them.
 """
 
 from __future__ import annotations
