--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -1,4 +1,4 @@
-"""The quotas of a whole fleet on a quiet day, beside a policy that sees the true buckets, but late."""
+"""A simulated fleet at low load, compared with a policy that sees exact token buckets with a delay."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 CALL_LATENCY = SECOND // 100  # us, of the counter
 ANSWER_LATENCY = SECOND // 10  # us, of the endpoints
-VIEW_AGE = SECOND // 5  # us, of the true state that the other policy sees
+VIEW_DELAY = SECOND // 5  # us after which the reference policy sees the state of a bucket
 PLANS = (Plan("small", 0.8, burst=3.0), Plan("mid", 2.0, burst=8.0), Plan("big", 8.0, burst=12.0))
-# Demand as a fraction of the quota, by customer: most use little of it.
+# Demand as a fraction of the quota's rate, by customer; most customers use a small part of their quota.
 DEMAND = (0.3, 0.3, 0.3, 0.3, 0.95, 0.3, 0.95, 0.3, 0.3, 2.7)
 
 
 @dataclass
 class TrueBucket:
-    """A customer's bucket as it is, and what was sent by it and beyond it."""
+    """A customer's exact token bucket, with the numbers of requests sent within and beyond the quota."""
 
     plan: Plan
     units: float = 0.0
     updated_at: int = 0
     within_quota: int = 0
     beyond_quota: int = 0
-    history: list[tuple[int, float]] = field(default_factory=list)  # moments, and the units then
+    history: list[tuple[int, float]] = field(default_factory=list)  # times (us), and the units left at them
 
     def remaining(self, now: int) -> float:
         return min(self.plan.burst, self.units + (now - self.updated_at) / SECOND * self.plan.rate)
@@ -52,44 +52,47 @@
         self.updated_at = now
         self.history.append((now, self.units))
 
-    def remaining_seen_late(self, now: int) -> float:
-        then = now - VIEW_AGE
-        earlier = ((at, units) for at, units in reversed(self.history) if at <= then)
-        at, units = next(earlier, (then, self.plan.burst))
-        return min(self.plan.burst, units + (then - at) / SECOND * self.plan.rate)
+    def delayed_remaining(self, now: int) -> float:
+        seen_at = now - VIEW_DELAY
+        visible_history = ((at, units) for at, units in reversed(self.history) if at <= seen_at)
+        at, units = next(visible_history, (seen_at, self.plan.burst))
+        return min(self.plan.burst, units + (seen_at - at) / SECOND * self.plan.rate)
 
 
 def arrivals(size: int, seconds: int) -> list[tuple[int, int, int]]:
-    """Returns moments, gateways and customers: at random moments, unevenly over a customer's gateways."""
+    """Returns the time (us), gateway and customer of each request, in order of time.
+
+    Times are drawn at random; a customer's requests are spread unevenly over its gateways.
+    """
     rng = random.Random(7)
-    found = []
+    requests = []
     for customer, demand in enumerate(DEMAND * 5):
         rate = PLANS[customer % len(PLANS)].rate * demand
         gateway_count = rng.randint(size // 2, size)
         now = float(SECOND)
         while (now := now + rng.expovariate(rate / SECOND)) < (1 + seconds) * SECOND:
             gateway = (customer + int(gateway_count * rng.random() ** 2)) % size
-            found.append((int(now), gateway, customer))
-    return sorted(found)
+            requests.append((int(now), gateway, customer))
+    return sorted(requests)
 
 
 def full_buckets() -> list[TrueBucket]:
     return [TrueBucket(PLANS[n % 3], PLANS[n % 3].burst) for n in range(len(DEMAND) * 5)]
 
 
-def fleet_sends(size: int, arrived: list[tuple[int, int, int]], buckets: list[TrueBucket]) -> None:
-    """Runs a fleet of gateways with a counter and endpoints that have a latency."""
-    made = settings(fleet_size=size, plans=PLANS)
-    fleet = [Gateway(replace(made, gateway_index=n), n) for n in range(size)]
+def run_fleet(size: int, requests: list[tuple[int, int, int]], buckets: list[TrueBucket]) -> None:
+    """Plays the requests through a fleet of gateways; the counter and the endpoints answer with a latency."""
+    base_settings = settings(fleet_size=size, plans=PLANS)
+    fleet = [Gateway(replace(base_settings, gateway_index=n), n) for n in range(size)]
     totals: dict[int, float] = {}
     order = itertools.count()
-    customers = [customer for _, _, customer in arrived]
+    customers = [customer for _, _, customer in requests]
     events: list[tuple[int, int, int, Event]] = []
 
     def schedule(at: int, gateway: int, event: Event) -> None:
         heapq.heappush(events, (at, next(order), gateway, event))
 
-    for number, (at, gateway, customer) in enumerate(arrived):
+    for number, (at, gateway, customer) in enumerate(requests):
         plan = customer % len(PLANS)
         request = RequestArrived(number, 0, plan, customer, 1.0, 3 * SECOND, customer % size, size)
         schedule(at, gateway, request)
@@ -114,18 +117,26 @@
 
 
 @pytest.mark.parametrize("size", [3, 30])
-def test_on_a_quiet_day_the_fleet_sends_hardly_more_beyond_quotas_than_one_that_sees_the_buckets_late(
+def test_at_low_load_the_fleet_exceeds_quotas_hardly_more_than_a_policy_with_delayed_exact_buckets(
     size: int,
 ) -> None:
-    arrived = arrivals(size, 20)
-    ours = full_buckets()
-    late = full_buckets()
-    fleet_sends(size, arrived, ours)
-    for now, _, customer in arrived:
-        if late[customer].remaining_seen_late(now) >= 1:
-            late[customer].send(now)
-    offered = len(arrived) - sum(max(0.0, DEMAND[n % 10] - 1) * s.plan.rate * 20 for n, s in enumerate(ours))
-    cost = [sum(bucket.beyond_quota for bucket in buckets) / offered for buckets in (ours, late)]
-    served = [sum(bucket.within_quota for bucket in buckets) / offered for buckets in (ours, late)]
-    assert cost[0] <= cost[1] + 0.1
-    assert served[0] > 0.8 * served[1]  # and not by sending nothing
+    requests = arrivals(size, 20)
+    fleet_buckets = full_buckets()
+    reference_buckets = full_buckets()
+    run_fleet(size, requests, fleet_buckets)
+    for now, _, customer in requests:
+        if reference_buckets[customer].delayed_remaining(now) >= 1:
+            reference_buckets[customer].send(now)
+    offered = len(requests) - sum(
+        max(0.0, DEMAND[n % 10] - 1) * bucket.plan.rate * 20 for n, bucket in enumerate(fleet_buckets)
+    )
+    beyond_part = [
+        sum(bucket.beyond_quota for bucket in buckets) / offered
+        for buckets in (fleet_buckets, reference_buckets)
+    ]
+    within_part = [
+        sum(bucket.within_quota for bucket in buckets) / offered
+        for buckets in (fleet_buckets, reference_buckets)
+    ]
+    assert beyond_part[0] <= beyond_part[1] + 0.1
+    assert within_part[0] > 0.8 * within_part[1]  # few requests beyond quotas must not come from sending few
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow ingresses: real but for the sockets of clients and backends."""
+"""Hollow ingresses: real ingresses without sockets for clients and backends."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.standins import serving
 
 
-async def test_hollow_ingresses_take_changes_and_call_the_counter() -> None:
+async def test_hollow_ingresses_apply_list_changes_and_call_the_counter() -> None:
     entries = [entry(n, 80) for n in range(6)]
     async with serving(DiscoveryServer(entries)) as discovery, serving(CounterServer()) as counter:
         fleet = HollowFleet()
@@ -26,6 +26,6 @@
             while len(fleet.in_force(version)) < 3:
                 await asyncio.sleep(0.01)
         assert min(fleet.in_force(version)) >= since and fleet.in_force(version + 1) == []
-        got = await fleet.requests(20.0, 0.5, customers=3, spread=4)
-        assert got["served"] > 10 and got["failed"] == 0 and counter.add_count > 0
+        responses = await fleet.requests(20.0, 0.5, customers=3, spread=4)
+        assert responses["served"] > 10 and responses["failed"] == 0 and counter.add_count > 0
         fleet.stop()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,14 +10,14 @@
 from tests.support.standins import serving
 
 
-async def test_requests_are_sent_at_drawn_moments_whatever_is_answered() -> None:
+async def test_arrival_times_do_not_depend_on_slow_responses() -> None:
     async with serving(BackendServer(work=0.3)) as backends:
         figures = await LoadGenerator(HOST, backends.port).run(
             100.0, 0.5, seed=7, customers=5, spread=1, routes=1
         )
-    rng, due, drawn = random.Random(7), 0.0, -1
+    rng, due, arrival_count = random.Random(7), 0.0, -1
     while due < 0.5:
-        drawn, due = drawn + 1, due + rng.expovariate(100.0)
+        arrival_count, due = arrival_count + 1, due + rng.expovariate(100.0)
         rng.randrange(5), rng.randrange(1)
     assert figures["sent_n"] == figures["served_n"] and abs(figures["sent_n"] - 50) < 25
-    assert figures["p50_ms"] >= 300 and figures["opened_n"] > 20  # none waited for an answer before
+    assert figures["p50_ms"] >= 300 and figures["opened_n"] > 20  # no request waited for an earlier response
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Lines through measurements."""
+"""Fits of a line to measurements."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ingress_testbed import slopes
 
 
-def test_a_known_slope_is_found_through_noise_within_its_error() -> None:
+def test_a_known_slope_is_fitted_within_its_error_despite_noise() -> None:
     rng = random.Random(3)
     points = [(x, 40 + 0.25 * x + rng.gauss(0, 20)) for x in (100, 1000, 10_000) for _ in range(5)]
-    found = slopes.fit_line(points)
-    assert found.fit == "line" and 0 < found.error < 0.01
-    assert abs(found.slope - 0.25) < 3 * found.error and found.at(20_000) == pytest.approx(5040, rel=0.02)
+    fitted = slopes.fit_line(points)
+    assert fitted.fit == "line" and 0 < fitted.error < 0.01
+    assert abs(fitted.slope - 0.25) < 3 * fitted.error and fitted.at(20_000) == pytest.approx(5040, rel=0.02)
 
 
 @pytest.mark.parametrize(
@@ -27,9 +27,9 @@
         ([(1.0, 0.0), (2.0, 0.0), (3.0, 0.0)], "flat", ""),
     ],
 )
-def test_a_poor_or_flat_fit_is_called_so(points: list[tuple[float, float]], fit: str, why: str) -> None:
-    found = slopes.fit_line(points)
-    assert found.fit == fit and why in found.why
+def test_poor_and_flat_fits_are_labelled(points: list[tuple[float, float]], fit: str, why: str) -> None:
+    fitted = slopes.fit_line(points)
+    assert fitted.fit == fit and why in fitted.why
 
 
 def test_two_sizes_are_too_few_for_a_slope() -> None:
