--- a/ingress_testbed/model.py
+++ b/ingress_testbed/model.py
@@ -70,7 +70,7 @@
 
 
 def address(number: int, port: int) -> str:
-    """Returns the loopback address of backend `number`, so that one socket serves many backends."""
+    """Returns backend `number`'s address, one of loopback's 16 million, so that one socket serves many."""
     return f"127.{1 + (number >> 16 & 127)}.{number >> 8 & 255}.{number & 255}:{port}"
 
 
--- a/ingress_testbed/proc.py
+++ b/ingress_testbed/proc.py
@@ -1,4 +1,4 @@
-"""CPU time and memory of a process, read from /proc."""
+"""CPU time, with nanosecond resolution, and memory, current and peak, of a process from /proc."""
 
 from __future__ import annotations
 
