--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -367,7 +367,7 @@
         else:
             now = self._host.now()
             if self.reader.in_message:
-                self._stages.wait_for_head(self, now)
+                self._stages.continue_head(self, now)
             else:
                 self._stages.park_idle(self, now, self._host.max_idle)
         self._resume_reading_if_drained()
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -89,8 +89,8 @@
         """Removes a connection from `awaiting_first_request`: its first request is valid."""
         self.awaiting_first_request.pop(connection, None)
 
-    def wait_for_head(self, connection: StagedConnection, now: int) -> None:
-        """Adds a connection to `receiving_head`: a request was answered and the next one has begun."""
+    def continue_head(self, connection: StagedConnection, now: int) -> None:
+        """Adds a connection to `receiving_head` after a response: part of the next head was received."""
         self.receiving_head[connection] = now
         self.awaiting_first_request.pop(connection, None)
 
