--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -170,13 +170,13 @@
         """Closes the connection unless a request is open or unread. Returns whether it was closed."""
         if self.is_busy or self.transport.is_closing() or unread_bytes(self.transport):
             return False
-        self._stages.leave_inactive_stages(self)
+        self._stages.stop_awaiting_request(self)
         self._close(reason)
         return True
 
     def evict_incomplete(self) -> None:
         """Closes the connection in the middle of a request head."""
-        self._stages.leave_inactive_stages(self)
+        self._stages.stop_awaiting_request(self)
         self._close(CloseReason.EVICTED)
 
     def abort(self, reason: CloseReason) -> None:
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -71,7 +71,7 @@
         """Removes a closed connection from all stages."""
         self.open.discard(connection)
         self.receiving_body.discard(connection)
-        self.leave_inactive_stages(connection)
+        self.stop_awaiting_request(connection)
         self.write_blocked.pop(connection, None)
         self.lingering.pop(connection, None)
 
@@ -106,11 +106,11 @@
 
     def start_lingering(self, connection: StagedConnection, now: int) -> None:
         """Moves a connection to `lingering`: its last response was written but its client still sends."""
-        self.leave_inactive_stages(connection)
+        self.stop_awaiting_request(connection)
         self.lingering[connection] = now
 
-    def leave_inactive_stages(self, connection: StagedConnection) -> None:
-        """Removes the connection from the stages in which no request is open."""
+    def stop_awaiting_request(self, connection: StagedConnection) -> None:
+        """Removes the connection from `awaiting_first_request`, `receiving_head` and `idle`."""
         self.awaiting_first_request.pop(connection, None)
         self.receiving_head.pop(connection, None)
         self.idle.pop(connection, None)
