--- a/quota_ingress/net/downstream/eviction.py
+++ b/quota_ingress/net/downstream/eviction.py
@@ -10,7 +10,7 @@
 
 STALL_TIMEOUT_S = 0.7  # without a further byte of a head; slow clients send heads in pieces
 FIRST_REQUEST_GRACE_US = 250_000  # from connecting; a legitimate client's first request is on its way
-MAX_PROTECTED_SILENT = 4  # with more connections awaiting a first request, none gets the grace period
+MAX_AWAITING_WITH_GRACE = 4  # with more connections awaiting a first request, none gets the grace period
 
 
 def evict_one(stages: ConnectionStages, now: int) -> bool:
@@ -19,7 +19,7 @@
     The order of eviction is: connections that have had their last response, connections that have sent
     nothing, connections that stalled in the middle of a head, and the longest idle. Connections with an
     unread request are never evicted. New connections that have sent nothing are evicted last, unless there
-    are more than MAX_PROTECTED_SILENT of them.
+    are more than MAX_AWAITING_WITH_GRACE of them.
     """
     if stages.lingering:
         longest_lingering = next(iter(stages.lingering))
@@ -27,7 +27,7 @@
         longest_lingering.abort(CloseReason.LINGER_TIMEOUT)
         return True
     silent = list(stages.awaiting_first_request)
-    if len(silent) <= MAX_PROTECTED_SILENT:
+    if len(silent) <= MAX_AWAITING_WITH_GRACE:
         silent = entered_before(stages.awaiting_first_request, now - FIRST_REQUEST_GRACE_US)
     if any(connection.close_if_idle(CloseReason.EVICTED) for connection in silent):
         return True
