--- a/quota_ingress/net/downstream/close_reason.py
+++ b/quota_ingress/net/downstream/close_reason.py
@@ -18,7 +18,7 @@
     PROCESS_END = "process end"
 
 
-CLIENT_SIDE_REASONS = frozenset(
+UNANSWERED_ALLOWED = frozenset(
     {CloseReason.CLIENT_LEFT, CloseReason.RESPONSE_UNREAD, CloseReason.RESPONSE_TRUNCATED}
 )
 """Reasons for which closing with requests unanswered is not a violation."""
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from quota_ingress.net.downstream import response
-from quota_ingress.net.downstream.close_reason import CLIENT_SIDE_REASONS, CloseReason
+from quota_ingress.net.downstream.close_reason import UNANSWERED_ALLOWED, CloseReason
 from quota_ingress.net.downstream.host import ConnectionHost
 from quota_ingress.net.downstream.pipeline import RequestPipeline, must_be_streamed
 from quota_ingress.net.downstream.read_flow import ReadFlow
@@ -400,7 +400,7 @@
             return
         self._close_reason = reason
         unanswered = self._pipeline.count_unanswered()
-        if reason not in CLIENT_SIDE_REASONS and unanswered:
+        if reason not in UNANSWERED_ALLOWED and unanswered:
             self._engine.event_log.violation(
                 "request closed unanswered", reason=reason.value, requests=unanswered
             )
