--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -59,7 +59,7 @@
         "address",
         "budget",
         "busy",
-        "dials",
+        "connecting",
         "event_log",
         "idle",
         "name",
@@ -79,7 +79,7 @@
         self.now = self._loop.time  # s
         self.idle: list[UpstreamConnection] = []  # the most recently used last
         self.busy: set[UpstreamConnection] = set()
-        self.dials: set[Exchange] = set()
+        self.connecting: set[Exchange] = set()  # waiting for a new connection
 
     def send(self, exchange: Exchange, new_connection: bool) -> None:
         """Sends on an idle connection, or on a new one if there is none or `new_connection` is set.
@@ -91,7 +91,7 @@
             connection.send(exchange)
         elif descriptors.has_capacity():
             descriptors.acquire()
-            self.dials.add(exchange)
+            self.connecting.add(exchange)
             exchange.dial = self._loop.create_task(self._connect(exchange))
             exchange.dial.add_done_callback(lambda task: self._clean_up_cancelled_dial(exchange))
         else:
@@ -138,7 +138,7 @@
     def withdraw(self) -> None:
         """Closes idle connections and fails attempts waiting for one, of which nothing has been written."""
         self.close_idle(UpstreamCloseReason.WITHDRAWN)
-        for exchange in list(self.dials):
+        for exchange in list(self.connecting):
             if exchange.dial:
                 exchange.dial.cancel()
             exchange.fail()
@@ -202,7 +202,7 @@
     def _finish_dial(
         self, exchange: Exchange, sock: socket.socket | None, connection: UpstreamConnection | None
     ) -> None:
-        self.dials.discard(exchange)
+        self.connecting.discard(exchange)
         exchange.dial = None
         if connection is None or not hasattr(connection, "transport"):  # not established
             self._options.descriptors.release()
@@ -216,7 +216,7 @@
 
     def _clean_up_cancelled_dial(self, exchange: Exchange) -> None:
         """Cleans up after a dial task cancelled before its first step, whose `finally` never ran."""
-        if exchange in self.dials:
-            self.dials.discard(exchange)
+        if exchange in self.connecting:
+            self.connecting.discard(exchange)
             exchange.dial = None
             self._options.descriptors.release()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -105,7 +105,7 @@
         ingress.engine.on_timer(TOKEN)
     else:
         next(iter(pool.busy)).fail_exchange(UpstreamCloseReason.STALLED)
-    assert not pool.dials and not pool.busy  # in the same loop iteration
+    assert not pool.connecting and not pool.busy  # in the same loop iteration
     assert ingress.script.of(ClientDisconnected)
     (unsent,) = [e for e in ingress.script.of(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
     assert unsent.request_ended and asked(backend) == ids_before
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -108,7 +108,7 @@
     exchange = backends.send(1, b"GET / HTTP/1.1\r\n\r\n", lambda result: None)
     exchange.abort()
     await asyncio.sleep(0.05)
-    assert outcomes == [Outcome.CONNECT_FAILED] and share.in_use == 0 and not backends._pools[1].dials
+    assert outcomes == [Outcome.CONNECT_FAILED] and share.in_use == 0 and not backends._pools[1].connecting
     backends.stop()
 
 
