--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -145,8 +145,8 @@
 
     def close_expired(self) -> None:
         """Closes the connections that have exceeded the idle timeout."""
-        oldest = self._oldest_usable()
-        while self.idle and self.idle[0].idle_since <= oldest:
+        cutoff = self._idle_cutoff()
+        while self.idle and self.idle[0].idle_since <= cutoff:
             self.idle[0].close(UpstreamCloseReason.IDLE)
 
     def fail_stalled(self, since: float) -> None:
@@ -160,7 +160,7 @@
         for connection in list(self.busy):
             connection.close(reason)
 
-    def _oldest_usable(self) -> float:
+    def _idle_cutoff(self) -> float:
         return self._loop.time() - self._options.idle_timeout_s
 
     def _take_idle(self) -> UpstreamConnection | None:
@@ -168,13 +168,13 @@
 
         Skips connections within the reuse delay. Closes expired and dead ones that it comes across.
         """
-        oldest = self._oldest_usable()
+        cutoff = self._idle_cutoff()
         latest_reusable = self.now() - REUSE_DELAY_S
         for connection in reversed(self.idle[:]):
             if connection.idle_since > latest_reusable:
                 continue
             self.idle.remove(connection)
-            expired = connection.idle_since <= oldest
+            expired = connection.idle_since <= cutoff
             if not expired and connection.is_alive():
                 connection.reused = True
                 self.busy.add(connection)
