--- a/quota_ingress/net/http/body.py
+++ b/quota_ingress/net/http/body.py
@@ -104,8 +104,8 @@
             self.truncated = True
             self.on_update()
 
-    def detach_reader(self) -> None:
-        """Stops notifying the sending side; another sender may set `on_update` again."""
+    def detach_sender(self) -> None:
+        """Stops notifying the sending side. The next attempt that sends the body sets `on_update` again."""
         self.on_update = _do_nothing
 
     def encode(self, offset: int) -> EncodedPart:
--- a/quota_ingress/net/upstream/exchange.py
+++ b/quota_ingress/net/upstream/exchange.py
@@ -109,4 +109,4 @@
 
     def _detach_body(self) -> None:
         if self.body and self.connection and self.body.on_update == self.connection.forward_body:
-            self.body.detach_reader()
+            self.body.detach_sender()
