--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -18,7 +18,7 @@
 QUOTA_FIELD = re.compile(rb"(units|spread|first)=([0-9]{1,9}(?:\.[0-9]{1,9})?)")
 QUOTA_FIELDS = 3
 ABSOLUTE_FORM = re.compile(rb"^[Hh][Tt][Tt][Pp]://[^/?#]*/?")
-MAX_CUSTOMER = 1 << 33
+CUSTOMER_NUMBER_LIMIT = 1 << 33  # exclusive
 METHODS = (b"GET", b"HEAD", b"POST")
 US_PER_MS = 1000
 MAX_TIMEOUT_DEADLINES = 2  # clients wait up to the class's deadline; up to this multiple is tolerated
@@ -177,6 +177,6 @@
     cookies = CUSTOMER_COOKIE.findall(cookie_header)
     if len(cookies) == 1 and SIXTEEN_HEX_DIGITS.fullmatch(cookies[0]):
         customer = int(cookies[0], 16)
-        if customer < MAX_CUSTOMER:
+        if customer < CUSTOMER_NUMBER_LIMIT:
             return customer
     raise InvalidRequestError(400, "cookie customer is missing or invalid")
