--- a/quota_ingress/net/downstream/close_reason.py
+++ b/quota_ingress/net/downstream/close_reason.py
@@ -11,7 +11,7 @@
     LAST_RESPONSE = "last response"  # the response announced it with Connection: close
     IDLE = "idle"
     EVICTED = "evicted"  # its descriptor was needed
-    LINGER_TIMEOUT = "linger timeout"  # the client was still sending after its last response
+    LINGER_TIMEOUT = "linger timeout"  # or evicted; the client was still sending after its last response
     RESPONSE_UNREAD = "response unread"
     RESPONSE_TRUNCATED = "response truncated"  # by the backend; the close lets the client detect it
     CLIENT_LEFT = "client left"
@@ -21,4 +21,4 @@
 UNANSWERED_ALLOWED = frozenset(
     {CloseReason.CLIENT_LEFT, CloseReason.RESPONSE_UNREAD, CloseReason.RESPONSE_TRUNCATED}
 )
-"""Reasons for which closing with requests unanswered is not a violation."""
+"""Reasons for which a connection may be closed with requests unanswered, without a violation."""
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -54,7 +54,7 @@
         self._keep_alive = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Acquires a descriptor, and determines whether there is capacity for requests."""
+        """Acquires a descriptor. Above the clients' share of descriptors, its requests are rejected."""
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         with contextlib.suppress(OSError):  # larger buffers than requested are acceptable
@@ -122,7 +122,7 @@
             self._write_response(status, b"", b"not understood\n")
 
     def eof_received(self) -> None:
-        """Treats a half-close as a disconnect, as unread responses may delay the full close."""
+        """Reports a disconnect at once, as responses that the client has not read may delay the close."""
         self._report_disconnect()
 
     def pause_writing(self) -> None:
--- a/quota_ingress/net/downstream/host.py
+++ b/quota_ingress/net/downstream/host.py
@@ -1,4 +1,4 @@
-"""Interface through which client connections use what they share."""
+"""Interface of the listener to its client connections: the state and the limits that they share."""
 
 from __future__ import annotations
 
--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -28,7 +28,7 @@
 
     Attributes:
         stages: The open connections by stage.
-        hard_limit: Number of connections above which further clients wait, unread, in the accept queue.
+        hard_limit: Number of connections at which no more are accepted; further clients wait in the queue.
         max_idle: Number of idle connections above which the longest idle one is closed.
         stopping: The process is ending, or another process accepts connections.
         handed_over: Another process accepts connections.
--- a/quota_ingress/net/downstream/process_delay.py
+++ b/quota_ingress/net/downstream/process_delay.py
@@ -1,4 +1,4 @@
-"""Detects event loop delays, with data to tell a busy process from one that was not scheduled."""
+"""Records event loop delays, with the processor time that tells a busy process from a suspended one."""
 
 from __future__ import annotations
 
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -21,7 +21,7 @@
 CUSTOMER_NUMBER_LIMIT = 1 << 33  # exclusive
 METHODS = (b"GET", b"HEAD", b"POST")
 US_PER_MS = 1000
-MAX_TIMEOUT_DEADLINES = 2  # clients wait up to the class's deadline; up to this multiple is tolerated
+MAX_TIMEOUT_DEADLINES = 2  # clients wait up to the class's deadline; up to this multiple of it is accepted
 
 
 class InvalidRequestError(Exception):
@@ -137,7 +137,8 @@
 def encode_forwarded_head(message: Message, request_id: bytes) -> bytes:
     """Returns the head sent to a backend, except Request-Timeout and the final empty line.
 
-    Target, Request-Id and Idempotency-Key are forwarded unchanged.
+    Target (in origin form), Request-Id and Idempotency-Key are forwarded unchanged. Sets whether the body is
+    forwarded with chunked transfer coding.
     """
     headers = message.headers
     body = message.body
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -39,17 +39,18 @@
 class ConnectionStages:
     """All open connections, by stage.
 
-    Mappings give the time (us) at which a connection entered the stage, the earliest first. A connection is
-    in at most one of `awaiting_first_request`, `receiving_head` and `idle`. While a request is open, it is in
-    none of them, except that it stays in `awaiting_first_request` until its first request has been validated.
+    Mappings give the time (us) at which a connection entered the stage, the earliest first, except that
+    `write_blocked` gives the time of the last read progress, in no order. A connection is in at most one of
+    `awaiting_first_request`, `receiving_head` and `idle`. While a request is being handled, it is in none of
+    them, except that it stays in `awaiting_first_request` until its first request has been validated.
 
     Attributes:
         open: All connections.
         awaiting_first_request: No valid request has been received yet.
-        receiving_head: A request after the first has begun, and its head is incomplete.
+        receiving_head: The second or a later request has begun, and its head is incomplete.
         idle: Between requests, with nothing of the next one received.
         receiving_body: A request's head is complete, and its body is incomplete.
-        write_blocked: The client does not read its response; the time is that of its last read progress.
+        write_blocked: The client does not read its response.
         lingering: The last response has been written; data still received is discarded.
     """
 
--- a/quota_ingress/net/downstream/timeouts.py
+++ b/quota_ingress/net/downstream/timeouts.py
@@ -7,10 +7,10 @@
 
 HEAD_TIMEOUT_S = 2.5  # from connecting, or from a later request's first byte, until the head is complete
 IDLE_TIMEOUT_S = 2.0  # between requests; clients have a limited number of connections
-DRAINING_IDLE_TIMEOUT_S = 0.25  # IDLE_TIMEOUT_S while draining; long enough to read the last response
-MIN_BODY_BYTES_PER_S = 32_000  # below any client; every 32 kB received extend the timeout by 1 s
+DRAINING_IDLE_TIMEOUT_S = 0.25  # instead, while draining; long enough to read the last response
+MIN_BODY_BYTES_PER_S = 32_000  # slower than any client sends; every 32 kB received extend the timeout by 1 s
 BODY_STALL_TIMEOUT_S = 2.0  # without a byte of a body, however fast it arrived before
-LINGER_TIMEOUT_S = 1.0  # for a client that still sends after its last response, which it may read late
+LINGER_TIMEOUT_S = 1.0  # for a client still sending after its last response, as it may read that late
 UNREAD_TIMEOUT_S = 4.0  # without a byte read by the client while a response waits
 REQUEST_TIMEOUT_STATUS = 408
 US_PER_S = 1_000_000
@@ -18,9 +18,9 @@
 
 def enforce_timeouts(stages: ConnectionStages, now: int, draining: bool) -> None:
     """Ends the connections that have exceeded the timeout of their stage at the time `now` (us)."""
-    head_deadline = now - int(HEAD_TIMEOUT_S * US_PER_S)
+    head_cutoff = now - int(HEAD_TIMEOUT_S * US_PER_S)
     for stage in (stages.awaiting_first_request, stages.receiving_head):
-        for connection in entered_before(stage, head_deadline):
+        for connection in entered_before(stage, head_cutoff):
             connection.reject_unreadable(REQUEST_TIMEOUT_STATUS)
     idle_timeout_s = DRAINING_IDLE_TIMEOUT_S if draining else IDLE_TIMEOUT_S
     for connection in entered_before(stages.idle, now - int(idle_timeout_s * US_PER_S)):
@@ -45,6 +45,6 @@
 def _abort_unread(stages: ConnectionStages, now: int) -> None:
     for connection in list(stages.write_blocked):
         connection.update_read_progress(now)
-    deadline = now - int(UNREAD_TIMEOUT_S * US_PER_S)
-    for connection in [c for c, since in stages.write_blocked.items() if since < deadline]:
+    cutoff = now - int(UNREAD_TIMEOUT_S * US_PER_S)
+    for connection in [c for c, since in stages.write_blocked.items() if since < cutoff]:
         connection.abort(CloseReason.RESPONSE_UNREAD)
