--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -57,7 +57,7 @@
             connect_timeout_s=connect_timeout_us / US_PER_S,
         )
         self._pools: dict[int, ConnectionPool] = {}
-        self._to_withdraw: set[int] = set()  # backends that moved, restarted or accept no requests
+        self._to_withdraw: set[int] = set()  # backends that changed address, restarted or accept no requests
         self._loop = asyncio.get_running_loop()
         self._sweep_timer: asyncio.TimerHandle | None = None
         descriptors.evict = self._evict_idle
@@ -79,16 +79,16 @@
                 self._pools[backend] = ConnectionPool(entry, self._options)
             return
         pool.accepts_requests = entry.state is EndpointState.READY
-        restarted = False
+        replaced = False
         if entry.state is not EndpointState.REMOVED:
-            restarted = pool.address != entry.address or pool.started_us != entry.started_us
+            replaced = pool.address != entry.address or pool.started_us != entry.started_us
             pool.address = entry.address
             pool.started_us = entry.started_us
-        if restarted or not pool.accepts_requests:
+        if replaced or not pool.accepts_requests:
             self._to_withdraw.add(backend)
 
     def reconcile(self, removed: Iterable[int]) -> None:
-        """Withdraws the pools that registered entries have invalidated, and drops removed backends."""
+        """Closes the connections that registered entries made invalid; drops the pools of `removed`."""
         for backend in removed:
             if pool := self._pools.pop(backend, None):
                 pool.accepts_requests = False
@@ -111,7 +111,7 @@
         """Begins an attempt. The other arguments are described at `Exchange`.
 
         A `non_idempotent` request cannot be retried after a connection reset, so it gets a new connection
-        while reused connections often end at their next request.
+        if reused connections have often ended before a response, and a descriptor is available.
         """
         exchange = Exchange(head, on_ended, body, on_stream_started, authorize)
         pool = self._pools.get(backend)
--- a/quota_ingress/net/upstream/close_reason.py
+++ b/quota_ingress/net/upstream/close_reason.py
@@ -11,14 +11,14 @@
     IDLE = "idle"
     EVICTED = "evicted"  # its descriptor was needed, or there were too many idle connections
     NOT_ALIVE = "not alive"  # found at reuse: the backend had closed it or sent unsolicited data
-    WITHDRAWN = "withdrawn"  # the backend drains, was removed or was restarted
+    WITHDRAWN = "withdrawn"  # the backend drains, was removed or restarted, or changed its address
     ABORTED = "aborted"  # its attempt was aborted
-    NOT_AUTHORIZED = "not authorized"  # its attempt was no longer allowed to begin
+    NOT_AUTHORIZED = "not authorized"  # its attempt may not begin, or ended before the connection was open
     WRITE_FAILED = "write failed"
     NOT_REUSABLE = "not reusable"  # answered, but the next response could not be told apart from this one
     PROTOCOL_ERROR = "protocol error"
     STALLED = "stalled"
-    BODY_DISCARDED = "body discarded"  # request body already sent with another attempt and freed
+    BODY_DISCARDED = "body discarded"  # start of the request body already sent by another attempt and freed
     UNWANTED = "unwanted"  # long response that is not to be streamed
     BY_BACKEND = "by backend"
     PROCESS_END = "process end"
--- a/quota_ingress/net/upstream/exchange.py
+++ b/quota_ingress/net/upstream/exchange.py
@@ -34,10 +34,10 @@
 class Exchange:
     """An attempt: it waits for a connection, its request is written, and its response is read.
 
-    The request consists of `head`, the data returned by `authorize`, and `body` as it is received, unless
-    that data includes the body. `on_ended` is called at most once, with the result; it is not called after
-    `abort`. `on_stream_started` is called once with a response too long to be buffered; without it, such a
-    response fails the attempt.
+    The request consists of `head`, the data returned by `authorize`, and `body` as it is received. `body` is
+    None if there is none or if that data includes all of it. `on_ended` is called at most once, with the
+    result; it is not called after `abort`. `on_stream_started` is called once with a response too long to be
+    buffered; without it, such a response fails the attempt.
     """
 
     __slots__ = (
--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -16,7 +16,9 @@
 from quota_ingress.net.upstream.exchange import Exchange
 from quota_ingress.policy.endpoint_list import EndpointState
 
-REUSE_DELAY_S = 0.02  # after a response; a late duplicate would be taken for the next response
+# After a response, before its connection is reused. A duplicate of the response that arrives meanwhile is
+# detected at reuse; a later one would be taken for the response to the next request.
+REUSE_DELAY_S = 0.02
 REUSE_FAILURE_WEIGHT = 0.02  # weight of the last reuse in the moving average
 
 log = logging.getLogger(__name__)
@@ -49,7 +51,7 @@
 class ConnectionPool:
     """The connections to one backend: idle, busy, and being opened.
 
-    Each connection holds a descriptor from the start of its dial until it is closed.
+    Each connection holds a descriptor from the start of the connect until it is closed.
     """
 
     __slots__ = (
@@ -136,7 +138,10 @@
         return True
 
     def withdraw(self) -> None:
-        """Closes idle connections and fails attempts waiting for one, of which nothing has been written."""
+        """Closes idle connections, and fails the attempts whose connections are still being opened.
+
+        Nothing of these attempts has been written.
+        """
         self.close_idle(UpstreamCloseReason.WITHDRAWN)
         for exchange in list(self.connecting):
             if exchange.dial:
@@ -208,7 +213,7 @@
             self._options.descriptors.release()
             if sock:
                 sock.close()
-        elif exchange.ended:
+        elif exchange.ended:  # aborted or failed while its connection was being opened
             connection.close(UpstreamCloseReason.NOT_AUTHORIZED)
         else:
             self.busy.add(connection)
