--- a/quota_ingress/net/http/body.py
+++ b/quota_ingress/net/http/body.py
@@ -7,7 +7,9 @@
 
 from quota_ingress.net.http.memory_budget import MemoryBudget
 
-BODY_BUFFER_BYTES = 64 * 1024  # a longer body is streamed through a buffer of this size
+# Longer bodies are streamed through a buffer of this size. Request bodies are buffered up to a higher limit
+# while the memory budget allows it.
+BODY_BUFFER_BYTES = 64 * 1024
 PART_BYTES = 64 * 1024  # maximum size of one write
 
 
--- a/quota_ingress/net/http/memory_budget.py
+++ b/quota_ingress/net/http/memory_budget.py
@@ -10,9 +10,10 @@
 
 
 class MemoryBudget:
-    """Counts the bytes buffered by all bodies against a capacity in bytes.
+    """The number of bytes buffered by all bodies, which update `used`, and its capacity in bytes.
 
-    The capacity is not enforced here: readers of bodies pause while the budget `is_exhausted`.
+    The capacity is not enforced here. While the budget `is_exhausted`, streamed responses are not read ahead
+    of the client, and request bodies longer than BODY_BUFFER_BYTES are streamed instead of buffered.
     """
 
     def __init__(self, memory_limit_mb: float = 1024.0) -> None:
@@ -24,5 +25,5 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether buffered bytes have reached the capacity, so that reading should pause."""
+        """Whether buffered bytes have reached the capacity, so that less should be buffered."""
         return self.used >= self.capacity
--- a/quota_ingress/net/http/message_reader.py
+++ b/quota_ingress/net/http/message_reader.py
@@ -80,12 +80,12 @@
         self._head_bytes = 0  # received since the message began, while its head is incomplete
         self._field_bytes = 0  # size of the head's fields, then of the trailer's
         self._rejection_status = 0  # status of an error raised in a callback, as httptools wraps the error
-        self._replaying_head = False
-        self._body_after_upgrade = False
+        self._replaying_head = False  # the parser reads a generated head; see `_continue_after_upgrade`
+        self._body_after_upgrade = False  # the head requested an upgrade, and its body is still to be read
         self.message = Message(budget)  # the message being read, or the last one
         self.in_message = False  # a message has begun and is incomplete
         self.framing_lost = False  # a framing error occurred; later bytes cannot be parsed
-        self.received_at = 0  # us: when the bytes being read arrived; set by the owner
+        self.received_at = 0  # us: when the bytes being read arrived; set by the connection
         self.on_message_started: Callable[[], None] = _do_nothing
 
     def feed(self, data: bytes) -> None:
