--- a/quota_ingress/net/http/message_reader.py
+++ b/quota_ingress/net/http/message_reader.py
@@ -76,7 +76,7 @@
         self._budget = budget
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None = self._new_parser()
         self._updated: list[Message] = []  # not yet returned by `take_updated`
-        self._in_head = True
+        self._in_head = True  # or before the first byte of the next message
         self._head_bytes = 0  # received since the message began, while its head is incomplete
         self._field_bytes = 0  # size of the head's fields, then of the trailer's
         self._rejection_status = 0  # status of an error raised in a callback, as httptools wraps the error
