--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from quota_ingress.net.downstream import response
-from quota_ingress.net.downstream.close_reason import CLIENT_SIDE_REASONS, CloseReason
+from quota_ingress.net.downstream.close_reason import UNANSWERED_ALLOWED, CloseReason
 from quota_ingress.net.downstream.host import ConnectionHost
 from quota_ingress.net.downstream.pipeline import RequestPipeline, must_be_streamed
 from quota_ingress.net.downstream.read_flow import ReadFlow
@@ -54,7 +54,7 @@
         self._keep_alive = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Acquires a descriptor, and determines whether there is capacity for requests."""
+        """Acquires a descriptor. Above the clients' share of descriptors, its requests are rejected."""
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         with contextlib.suppress(OSError):  # larger buffers than requested are acceptable
@@ -122,7 +122,7 @@
             self._write_response(status, b"", b"not understood\n")
 
     def eof_received(self) -> None:
-        """Treats a half-close as a disconnect, as unread responses may delay the full close."""
+        """Reports a disconnect at once, as responses that the client has not read may delay the close."""
         self._report_disconnect()
 
     def pause_writing(self) -> None:
@@ -170,13 +170,13 @@
         """Closes the connection unless a request is open or unread. Returns whether it was closed."""
         if self.is_busy or self.transport.is_closing() or unread_bytes(self.transport):
             return False
-        self._stages.leave_inactive_stages(self)
+        self._stages.stop_awaiting_request(self)
         self._close(reason)
         return True
 
     def evict_incomplete(self) -> None:
         """Closes the connection in the middle of a request head."""
-        self._stages.leave_inactive_stages(self)
+        self._stages.stop_awaiting_request(self)
         self._close(CloseReason.EVICTED)
 
     def abort(self, reason: CloseReason) -> None:
@@ -367,7 +367,7 @@
         else:
             now = self._host.now()
             if self.reader.in_message:
-                self._stages.wait_for_head(self, now)
+                self._stages.continue_head(self, now)
             else:
                 self._stages.park_idle(self, now, self._host.max_idle)
         self._resume_reading_if_drained()
@@ -400,7 +400,7 @@
             return
         self._close_reason = reason
         unanswered = self._pipeline.count_unanswered()
-        if reason not in CLIENT_SIDE_REASONS and unanswered:
+        if reason not in UNANSWERED_ALLOWED and unanswered:
             self._engine.event_log.violation(
                 "request closed unanswered", reason=reason.value, requests=unanswered
             )
--- a/quota_ingress/net/downstream/stages.py
+++ b/quota_ingress/net/downstream/stages.py
@@ -39,17 +39,18 @@
 class ConnectionStages:
     """All open connections, by stage.
 
-    Mappings give the time (us) at which a connection entered the stage, the earliest first. A connection is
-    in at most one of `awaiting_first_request`, `receiving_head` and `idle`. While a request is open, it is in
-    none of them, except that it stays in `awaiting_first_request` until its first request has been validated.
+    Mappings give the time (us) at which a connection entered the stage, the earliest first, except that
+    `write_blocked` gives the time of the last read progress, in no order. A connection is in at most one of
+    `awaiting_first_request`, `receiving_head` and `idle`. While a request is being handled, it is in none of
+    them, except that it stays in `awaiting_first_request` until its first request has been validated.
 
     Attributes:
         open: All connections.
         awaiting_first_request: No valid request has been received yet.
-        receiving_head: A request after the first has begun, and its head is incomplete.
+        receiving_head: The second or a later request has begun, and its head is incomplete.
         idle: Between requests, with nothing of the next one received.
         receiving_body: A request's head is complete, and its body is incomplete.
-        write_blocked: The client does not read its response; the time is that of its last read progress.
+        write_blocked: The client does not read its response.
         lingering: The last response has been written; data still received is discarded.
     """
 
@@ -71,7 +72,7 @@
         """Removes a closed connection from all stages."""
         self.open.discard(connection)
         self.receiving_body.discard(connection)
-        self.leave_inactive_stages(connection)
+        self.stop_awaiting_request(connection)
         self.write_blocked.pop(connection, None)
         self.lingering.pop(connection, None)
 
@@ -89,8 +90,8 @@
         """Removes a connection from `awaiting_first_request`: its first request is valid."""
         self.awaiting_first_request.pop(connection, None)
 
-    def wait_for_head(self, connection: StagedConnection, now: int) -> None:
-        """Adds a connection to `receiving_head`: a request was answered and the next one has begun."""
+    def continue_head(self, connection: StagedConnection, now: int) -> None:
+        """Adds a connection to `receiving_head` after a response: part of the next head was received."""
         self.receiving_head[connection] = now
         self.awaiting_first_request.pop(connection, None)
 
@@ -106,11 +107,11 @@
 
     def start_lingering(self, connection: StagedConnection, now: int) -> None:
         """Moves a connection to `lingering`: its last response was written but its client still sends."""
-        self.leave_inactive_stages(connection)
+        self.stop_awaiting_request(connection)
         self.lingering[connection] = now
 
-    def leave_inactive_stages(self, connection: StagedConnection) -> None:
-        """Removes the connection from the stages in which no request is open."""
+    def stop_awaiting_request(self, connection: StagedConnection) -> None:
+        """Removes the connection from `awaiting_first_request`, `receiving_head` and `idle`."""
         self.awaiting_first_request.pop(connection, None)
         self.receiving_head.pop(connection, None)
         self.idle.pop(connection, None)
--- a/quota_ingress/net/http/body.py
+++ b/quota_ingress/net/http/body.py
@@ -7,7 +7,9 @@
 
 from quota_ingress.net.http.memory_budget import MemoryBudget
 
-BODY_BUFFER_BYTES = 64 * 1024  # a longer body is streamed through a buffer of this size
+# Longer bodies are streamed through a buffer of this size. Request bodies are buffered up to a higher limit
+# while the memory budget allows it.
+BODY_BUFFER_BYTES = 64 * 1024
 PART_BYTES = 64 * 1024  # maximum size of one write
 
 
@@ -104,8 +106,8 @@
             self.truncated = True
             self.on_update()
 
-    def detach_reader(self) -> None:
-        """Stops notifying the sending side; another sender may set `on_update` again."""
+    def detach_sender(self) -> None:
+        """Stops notifying the sending side. The next attempt that sends the body sets `on_update` again."""
         self.on_update = _do_nothing
 
     def encode(self, offset: int) -> EncodedPart:
--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -16,7 +16,9 @@
 from quota_ingress.net.upstream.exchange import Exchange
 from quota_ingress.policy.endpoint_list import EndpointState
 
-REUSE_DELAY_S = 0.02  # after a response; a late duplicate would be taken for the next response
+# After a response, before its connection is reused. A duplicate of the response that arrives meanwhile is
+# detected at reuse; a later one would be taken for the response to the next request.
+REUSE_DELAY_S = 0.02
 REUSE_FAILURE_WEIGHT = 0.02  # weight of the last reuse in the moving average
 
 log = logging.getLogger(__name__)
@@ -49,7 +51,7 @@
 class ConnectionPool:
     """The connections to one backend: idle, busy, and being opened.
 
-    Each connection holds a descriptor from the start of its dial until it is closed.
+    Each connection holds a descriptor from the start of the connect until it is closed.
     """
 
     __slots__ = (
@@ -59,7 +61,7 @@
         "address",
         "budget",
         "busy",
-        "dials",
+        "connecting",
         "event_log",
         "idle",
         "name",
@@ -79,7 +81,7 @@
         self.now = self._loop.time  # s
         self.idle: list[UpstreamConnection] = []  # the most recently used last
         self.busy: set[UpstreamConnection] = set()
-        self.dials: set[Exchange] = set()
+        self.connecting: set[Exchange] = set()  # waiting for a new connection
 
     def send(self, exchange: Exchange, new_connection: bool) -> None:
         """Sends on an idle connection, or on a new one if there is none or `new_connection` is set.
@@ -91,7 +93,7 @@
             connection.send(exchange)
         elif descriptors.has_capacity():
             descriptors.acquire()
-            self.dials.add(exchange)
+            self.connecting.add(exchange)
             exchange.dial = self._loop.create_task(self._connect(exchange))
             exchange.dial.add_done_callback(lambda task: self._clean_up_cancelled_dial(exchange))
         else:
@@ -136,17 +138,20 @@
         return True
 
     def withdraw(self) -> None:
-        """Closes idle connections and fails attempts waiting for one, of which nothing has been written."""
+        """Closes idle connections, and fails the attempts whose connections are still being opened.
+
+        Nothing of these attempts has been written.
+        """
         self.close_idle(UpstreamCloseReason.WITHDRAWN)
-        for exchange in list(self.dials):
+        for exchange in list(self.connecting):
             if exchange.dial:
                 exchange.dial.cancel()
             exchange.fail()
 
     def close_expired(self) -> None:
         """Closes the connections that have exceeded the idle timeout."""
-        oldest = self._oldest_usable()
-        while self.idle and self.idle[0].idle_since <= oldest:
+        cutoff = self._idle_cutoff()
+        while self.idle and self.idle[0].idle_since <= cutoff:
             self.idle[0].close(UpstreamCloseReason.IDLE)
 
     def fail_stalled(self, since: float) -> None:
@@ -160,7 +165,7 @@
         for connection in list(self.busy):
             connection.close(reason)
 
-    def _oldest_usable(self) -> float:
+    def _idle_cutoff(self) -> float:
         return self._loop.time() - self._options.idle_timeout_s
 
     def _take_idle(self) -> UpstreamConnection | None:
@@ -168,13 +173,13 @@
 
         Skips connections within the reuse delay. Closes expired and dead ones that it comes across.
         """
-        oldest = self._oldest_usable()
+        cutoff = self._idle_cutoff()
         latest_reusable = self.now() - REUSE_DELAY_S
         for connection in reversed(self.idle[:]):
             if connection.idle_since > latest_reusable:
                 continue
             self.idle.remove(connection)
-            expired = connection.idle_since <= oldest
+            expired = connection.idle_since <= cutoff
             if not expired and connection.is_alive():
                 connection.reused = True
                 self.busy.add(connection)
@@ -202,13 +207,13 @@
     def _finish_dial(
         self, exchange: Exchange, sock: socket.socket | None, connection: UpstreamConnection | None
     ) -> None:
-        self.dials.discard(exchange)
+        self.connecting.discard(exchange)
         exchange.dial = None
         if connection is None or not hasattr(connection, "transport"):  # not established
             self._options.descriptors.release()
             if sock:
                 sock.close()
-        elif exchange.ended:
+        elif exchange.ended:  # aborted or failed while its connection was being opened
             connection.close(UpstreamCloseReason.NOT_AUTHORIZED)
         else:
             self.busy.add(connection)
@@ -216,7 +221,7 @@
 
     def _clean_up_cancelled_dial(self, exchange: Exchange) -> None:
         """Cleans up after a dial task cancelled before its first step, whose `finally` never ran."""
-        if exchange in self.dials:
-            self.dials.discard(exchange)
+        if exchange in self.connecting:
+            self.connecting.discard(exchange)
             exchange.dial = None
             self._options.descriptors.release()
