--- a/quota_ingress/net/counter/client.py
+++ b/quota_ingress/net/counter/client.py
@@ -14,7 +14,7 @@
 
 MAX_CONNECTIONS = 3  # the counter accepts 32 per ingress
 MIN_CONNECTIONS = 2  # a stalled connection is detected by comparison with another one
-MAX_FLEET_CONNECTIONS = 24  # of all ingresses together, unless MIN_CONNECTIONS for each are more
+MAX_FLEET_CONNECTIONS = 24  # of all ingresses together; exceeded if MIN_CONNECTIONS for each add up to more
 TIMEOUT_FACTOR = 3  # times the configured timeout: a slightly late answer is better than none
 DRAIN_TIMEOUT = 2.0  # s
 RECONNECT_BACKOFF = BackoffRange(0.05, 1.0)
@@ -40,7 +40,7 @@
 
         Args:
             address: Host and port of the counter.
-            timeout_us: The configured timeout of a call, in microseconds.
+            timeout_us: The configured timeout of a call in microseconds, to which TIMEOUT_FACTOR applies.
             fleet_size: The number of ingresses that share the counter.
         """
         self.connected = asyncio.Event()
@@ -76,7 +76,7 @@
         self.stop()
 
     def add(self, name: int, amount: float, ttl_us: int, on_answer: OnAnswer) -> None:
-        """Adds `amount` to the total of `name`, which expires after `ttl_us` microseconds if it is new.
+        """Adds `amount` to the total of `name`; a new total expires `ttl_us` us after its creation.
 
         `on_answer` is called with the outcome and, for Outcome.OK, the total.
         """
@@ -92,16 +92,16 @@
         self._last_addition[name] = addition
 
     def is_last(self, addition: _Addition) -> bool:
-        """Returns whether this is the last unanswered addition to its name."""
+        """Returns whether this is the last unanswered addition for its name."""
         return self._last_addition.get(addition.name) is addition
 
     def forget(self, addition: _Addition) -> None:
-        """Removes an addition that has ended."""
+        """Stops treating the addition as the last unanswered one for its name."""
         if self.is_last(addition):
             del self._last_addition[addition.name]
 
     def _best_connection(self) -> CounterConnection | None:
-        """Returns the connection with the fewest pending calls; overdue ones are used only if all are."""
+        """Returns the connection with the fewest pending calls; an overdue one only if all are overdue."""
         now = asyncio.get_running_loop().time()
         return min(
             (connection for connection in self._connections if not connection.transport.is_closing()),
@@ -132,7 +132,7 @@
 
 
 class _Addition:
-    """An addition to a name whose outcome is not yet known."""
+    """An addition to the total of a name; its outcome is not known yet."""
 
     __slots__ = ("_amount", "_client", "_on_answer", "_ttl_us", "connection", "name")
 
@@ -173,5 +173,8 @@
         return True
 
     def _finish_read(self, outcome: Outcome, total: float) -> None:
-        """Reports the outcome of the read. Even if the read never ran, the amount has been added."""
+        """Reports the outcome of the read.
+
+        The amount has been added even if the read never ran, so outcomes that deny this are replaced.
+        """
         self._on_answer(_OUTCOME_OF_FAILED_READ.get(outcome, outcome), total)
--- a/quota_ingress/net/counter/connection.py
+++ b/quota_ingress/net/counter/connection.py
@@ -148,7 +148,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Starts the periodic health checks of the connection."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self._last_write_at = self._loop.time()
         self._check_health()
 
--- a/quota_ingress/net/counter/protocol.py
+++ b/quota_ingress/net/counter/protocol.py
@@ -1,4 +1,4 @@
-"""The codec of the counter's line protocol: the only module that knows its verbs."""
+"""The codec of the counter's line protocol; no other module knows its commands and answers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def encode_add(name: int, amount: float, ttl_us: int) -> bytes:
-    """Returns the call that adds `amount` to `name`, which expires after `ttl_us` us if it is new."""
+    """Returns a call that adds `amount` to the total of `name`; a new total expires after `ttl_us` us."""
     ttl_ms = min(MAX_TTL_MS, max(1, ttl_us // _US_PER_MS))
     return b"add %016x %.6f %d\r\n" % (name, amount, ttl_ms)
 
--- a/quota_ingress/net/discovery/directory.py
+++ b/quota_ingress/net/discovery/directory.py
@@ -19,7 +19,7 @@
 
 
 class EndpointDirectory(Mapping[str, EndpointEntry]):
-    """Endpoints by name, stored in packed form. The cost of a delta is proportional to its length.
+    """Endpoints by name, stored in packed form. Applying a delta takes time proportional to its length.
 
     Attributes:
         ready_count: Number of endpoints that take requests.
--- a/quota_ingress/net/discovery/endpoint_codec.py
+++ b/quota_ingress/net/discovery/endpoint_codec.py
@@ -27,7 +27,7 @@
     "removed": EndpointState.REMOVED,
 }
 STATUS_BY_STATE = {state: status for status, state in STATE_BY_STATUS.items()}
-DECODE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, OverflowError)  # of malformed documents
+DECODE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, OverflowError)  # for malformed documents
 
 _LIST_PATH = "/discovery/hosts"
 _NAME_KEY = "name"
--- a/quota_ingress/net/discovery/incremental_reader.py
+++ b/quota_ingress/net/discovery/incremental_reader.py
@@ -1,6 +1,6 @@
 """Incremental reader of one long endpoint list: decodes and packs each entry as its text arrives.
 
-A complete list, as text and as decoded values, takes ten times the memory of its packed entries. The reader
+A complete list takes, as text and as decoded values, ten times the memory of its packed entries. The reader
 consists of nested generators: each yields the number of further characters that it needs and is resumed
 once they have arrived.
 """
@@ -29,7 +29,7 @@
 
 MAX_UNREAD_BYTES = 8 * 1024 * 1024
 MAX_LIST_BYTES = 64 * 1024 * 1024  # about 400,000 endpoints
-MAX_TOKEN_LENGTH = 16  # characters; not less than `-Infinity` or an escape sequence in a string
+MAX_TOKEN_LENGTH = 16  # characters; at least the length of `-Infinity` and of an escape sequence in a string
 
 Value = TypeVar("Value")
 Parsing = Generator[int, None, Value]  # yields the number of further characters needed
@@ -163,7 +163,7 @@
         while True:
             try:
                 value, end = _decoder.raw_decode(self._text, self._position)
-                if end < len(self._text) or isinstance(value, dict | list | str):  # a number may go on
+                if end < len(self._text) or isinstance(value, dict | list | str):  # a number may continue
                     self._position = end
                     return value
             except json.JSONDecodeError as error:
--- a/quota_ingress/net/discovery/list_parser.py
+++ b/quota_ingress/net/discovery/list_parser.py
@@ -39,7 +39,8 @@
 class EndpointListParser:
     """Parses endpoint lists from lines that arrive in parts.
 
-    The parser is between lists, buffers the lines of a short list, or has passed a long list to a reader.
+    The parser has three states: between lists, buffering the lines of a list that is short so far, or passing
+    a long list on to a reader.
     """
 
     def __init__(self, pack: PackEntry = pack_entry) -> None:
@@ -50,7 +51,7 @@
     def _reset(self) -> None:
         self._lines: list[bytes] = []  # complete lines of an incomplete list
         self._partial_line: list[bytes] = []  # parts of the unfinished line; empty with a reader
-        self._is_line_blank = True  # of the unfinished line
+        self._is_line_blank = True  # the unfinished line is blank so far
         self._buffered_bytes = 0
         self._open_brackets = 0
         self._reader: IncrementalListReader | None = None
--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -1,8 +1,8 @@
 """Operators' overrides of single endpoints, applied to the endpoint list that discovery sends.
 
 An endpoint that operators have taken offline (a ban) is published as draining if discovery lists it as ready.
-One that they have put back online is published as started at that moment, so that it gets a slow start, until
-discovery reports another start.
+One that they have put back online is published as started at that moment, so that it gets a slow start; this
+override ends when discovery reports another start.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 from quota_ingress.net.discovery.packed_entry import PackedEntry, is_removed, pack_entry, unpack_entry
 from quota_ingress.policy.endpoint_list import EndpointState, ListKind
 
-MAX_REMOVED_NAMES = 5000  # still accepted in operators' calls: six hours of removals in the largest fleet
+# Names recorded because operators' calls for removed endpoints are still accepted; as many as the largest
+# fleet removes in six hours.
+MAX_REMOVED_NAMES = 5000
 ENTRIES_PER_BATCH = 1000
 
 PublishList = Callable[[EndpointList, ListKind | None], None]
 
 
 class IncompleteListError(ValueError):
-    """Some entries of the other process's endpoint list have not arrived."""
+    """Some entries of the endpoint list of the other process of an upgrade have not arrived."""
 
 
 class OverridesSnapshot(NamedTuple):
-    """Overrides, and version and size of their endpoint list, for the other process of an upgrade."""
+    """The overrides of one process of an upgrade, with version and size of its list, for the other one."""
 
     list_version: int
     endpoint_count: int
     offline: tuple[str, ...]
-    back_online_at: Mapping[str, int]  # us on the shared clock, by endpoint name
+    back_online_at: Mapping[str, int]  # us by name, on the clock that both processes share
     removed_names: tuple[str, ...]
 
 
@@ -58,13 +60,15 @@
         self.offline: set[str] = set()
         self.list_version = 0
         self._back_online_at: dict[str, int] = {}  # us, by name
-        # Start that discovery reported at that time (us, by name); another reported start ends the override.
-        self._reported_start_when_back: dict[str, int] = {}
+        # The start that discovery reports when an endpoint is put back online, or first reports after that
+        # (us, by name); a different one ends the override.
+        self._reported_start_after_ban: dict[str, int] = {}
         self._now = now
         self._publish = publish
         self._directory = directory
         self._as_discovered: dict[str, EndpointEntry] = {}  # of listed endpoints with an override
-        self._removed_names: OrderedDict[str, None] = OrderedDict()  # oldest first
+        # Names of removed endpoints, and of others that operators' calls have named.
+        self._recorded_names: OrderedDict[str, None] = OrderedDict()  # oldest first
         self._incoming_entries: dict[str, PackedEntry] = {}  # of the other process's list, by name
 
     @property
@@ -77,7 +81,7 @@
 
         The cost of a delta depends on the length of the delta, not of the list.
         """
-        self._forget_removed(endpoints)
+        self._record_removed(endpoints)
         packed = endpoints.packed
         for name in self._overridden_names(endpoints):
             if not is_removed(packed[name]):
@@ -89,7 +93,7 @@
 
     def snapshot(self) -> OverridesSnapshot:
         """Returns the overrides for the other process of an upgrade."""
-        unlisted = (self._removed_names.keys() | self.offline) - self._directory.keys()
+        unlisted = (self._recorded_names.keys() | self.offline) - self._directory.keys()
         return OverridesSnapshot(
             list_version=self.list_version,
             endpoint_count=len(self._directory),
@@ -127,7 +131,7 @@
                 )
             endpoints = EndpointList(snapshot.list_version, True, incoming)
         for name in snapshot.removed_names:
-            self._remember_name(name)
+            self._record_name(name)
         self.offline = set(snapshot.offline)
         self._back_online_at = dict(snapshot.back_online_at)
         return endpoints
@@ -138,14 +142,18 @@
 
     def apply_operator_call(self, name: str, is_offline: bool) -> None:
         """Applies an operator's call that the other process of an upgrade has answered."""
-        self._remember_name(name)
+        self._record_name(name)
         if is_offline:
             self.take_offline(name)
         else:
             self.put_online(name)
 
     def take_offline(self, name: str) -> bool:
-        """Bans the endpoint until `put_online`. Returns False if it was never listed."""
+        """Bans the endpoint until `put_online`.
+
+        Returns False if the endpoint is unknown: neither listed nor offline, and its name is not
+        recorded, or no longer.
+        """
         if not self._is_known(name):
             return False
         if name not in self.offline:
@@ -154,15 +162,18 @@
         return True
 
     def put_online(self, name: str) -> bool:
-        """Ends the ban, even one requested several times. Returns False if the endpoint was never listed."""
+        """Ends the ban, however many calls requested it.
+
+        Returns False if the endpoint is unknown, as in `take_offline`.
+        """
         if not self._is_known(name):
             return False
         if name in self.offline:
             self.offline.discard(name)
             self._back_online_at[name] = self._now()
-            self._reported_start_when_back.pop(name, None)
+            self._reported_start_after_ban.pop(name, None)
             self._publish_entry(name)
-            self._remember_name(name)
+            self._record_name(name)
         return True
 
     def _overridden_names(self, endpoints: EndpointList) -> Iterable[str]:
@@ -171,7 +182,7 @@
             return packed.keys() & (self.offline | self._back_online_at.keys())
         return [name for name in packed if name in self.offline or name in self._back_online_at]
 
-    def _forget_removed(self, endpoints: EndpointList) -> None:
+    def _record_removed(self, endpoints: EndpointList) -> None:
         packed = endpoints.packed
         removed: Iterable[str] = [name for name in packed if is_removed(packed[name])]
         if endpoints.is_snapshot:
@@ -179,7 +190,7 @@
             removed = [*removed, *(name for name in self._directory if name not in packed)]
         for name in removed:
             self._as_discovered.pop(name, None)
-            self._remember_name(name)
+            self._record_name(name)
 
     def _packed_as_discovered(self, name: str) -> PackedEntry:
         if name in self._as_discovered:
@@ -187,13 +198,13 @@
         return self._directory.packed_entry(name)
 
     def _is_known(self, name: str) -> bool:
-        return name in self._directory or name in self.offline or name in self._removed_names
+        return name in self._directory or name in self.offline or name in self._recorded_names
 
-    def _remember_name(self, name: str) -> None:
-        self._removed_names[name] = None
-        self._removed_names.move_to_end(name)
-        if len(self._removed_names) > MAX_REMOVED_NAMES:
-            self._removed_names.popitem(last=False)
+    def _record_name(self, name: str) -> None:
+        self._recorded_names[name] = None
+        self._recorded_names.move_to_end(name)
+        if len(self._recorded_names) > MAX_REMOVED_NAMES:
+            self._recorded_names.popitem(last=False)
 
     def _publish_entry(self, name: str) -> None:
         if name in self._directory:
@@ -207,10 +218,10 @@
             return replace(entry, state=EndpointState.DRAINING)
         if entry.name not in self._back_online_at:
             return entry
-        # Discovery's start times and ours are of different clocks, so only a change of the former counts.
-        previous_reported_start = self._reported_start_when_back.setdefault(entry.name, entry.started_us)
-        if previous_reported_start != entry.started_us:
+        # Discovery's start times are on another clock than ours, so they are compared only with each other.
+        first_reported_start = self._reported_start_after_ban.setdefault(entry.name, entry.started_us)
+        if first_reported_start != entry.started_us:
             del self._back_online_at[entry.name]
-            del self._reported_start_when_back[entry.name]
+            del self._reported_start_after_ban[entry.name]
             return entry
         return replace(entry, started_us=self._back_online_at[entry.name])
--- a/quota_ingress/net/discovery/start_times.py
+++ b/quota_ingress/net/discovery/start_times.py
@@ -40,7 +40,7 @@
     Attributes:
         reported_at: Time on the fleet's clock.
         by_wall_clock: Time on this process's clock, assuming that its wall clock is correct.
-        local: Time on this process's clock that is in use.
+        local: The estimate in use, on this process's clock.
     """
 
     reported_at: int
@@ -54,7 +54,7 @@
     def __init__(self, age_tolerance: int = 0) -> None:
         """Allows ages to be too great by up to `age_tolerance` microseconds."""
         self._age_tolerance = age_tolerance
-        self._fleet_clock_lead: int | None = None  # us ahead of this process's clock, at least
+        self._fleet_clock_lead: int | None = None  # us by which it is ahead of this process's clock, at least
         self._starts: dict[str, _Start] = {}
 
     def observe(self, reported_at: int, now: int) -> list[str]:
@@ -79,7 +79,7 @@
         return older
 
     def local_start(self, name: str, reported_at: int, now: int) -> int:
-        """Returns the latest possible time of the start on this process's clock, given the reports so far.
+        """Returns the start on this process's clock, as estimated from the reports so far; may be LONG_AGO.
 
         Args:
             name: Name of the endpoint.
@@ -114,8 +114,8 @@
 def age_tolerance(safety: Safety) -> int:
     """Returns the microseconds by which ages may be too great without overloading a cold endpoint.
 
-    This is the part of the warm-up that the unused part of the overload budget (SLOW_START_BUDGET_FRACTION)
-    covers at the beginning of the warm-up.
+    Slow start plans with the fraction SLOW_START_BUDGET_FRACTION of the overload budget. The rest of the
+    budget allows for this error at the beginning of the warm-up, when the capacity is lowest.
     """
     initial = safety.initial_capacity_fraction
     if initial >= 1:
--- a/quota_ingress/net/discovery/watch.py
+++ b/quota_ingress/net/discovery/watch.py
@@ -24,7 +24,8 @@
     Attributes:
         address: Host and port of the discovery service.
         version: The current version of the list, or None without one.
-        directory: The current list, if it may be long; snapshots that repeat its entries share its strings.
+        directory: The current list, or None if lists are short. A snapshot that repeats its entries shares
+            its strings.
         first_list_received: Set once a snapshot or delta has been received.
         retry: Determines waits and timeouts of the calls.
     """
@@ -47,7 +48,7 @@
             on_list: Called with each snapshot and each delta.
             fleet_size: Number of ingresses that share the discovery service.
             first_list_deadline: Seconds within which the first list must arrive if discovery is reachable.
-            directory: The current list, if it may be long.
+            directory: The current list; needed only if lists may be long.
             trace: Receives an event for each list received and for the end of each call.
         """
         self.address = address
@@ -57,7 +58,7 @@
         self.retry = WatchRetryPolicy(fleet_size, first_list_deadline)
         self._on_list = on_list
         self._trace = trace or EventLog()
-        self._peer_version = 0  # of the last list from the other process of an upgrade; 0 after a newer list
+        self._peer_version = 0  # of the last list if it came from the other process of an upgrade; else 0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -109,7 +110,7 @@
             self.retry.on_call(loop.time())
             end = await self._call(needs_snapshot)
             self._trace.event("watch ended", end.name.lower(), version=self.version)
-            # After an empty response, further watches may be empty, too.
+            # After an empty response, further watches may be empty, too, so a snapshot is fetched.
             needs_snapshot = end is CallEnd.EMPTY or self.version is None
             if wait := self.retry.next_wait(end, loop.time()):
                 await asyncio.sleep(wait)
--- a/quota_ingress/net/discovery/watch_connection.py
+++ b/quota_ingress/net/discovery/watch_connection.py
@@ -37,7 +37,7 @@
 
     @property
     def directory(self) -> EndpointDirectory | None:
-        """The current list, if it may be long."""
+        """The current list, or None if lists are short."""
 
     def receive(self, endpoint_list: EndpointList) -> None:
         """Applies a snapshot or a delta."""
--- a/quota_ingress/net/discovery/watch_retry.py
+++ b/quota_ingress/net/discovery/watch_retry.py
@@ -15,17 +15,19 @@
 
 from quota_ingress.net.backoff import Backoff, BackoffRange
 
-NOTIFICATION_DEADLINE = 6.0  # s after which the ingress is expected to know a change
+NOTIFICATION_DEADLINE = 6.0  # s within which the ingress is expected to know a change
 CONNECT_TIMEOUT = 1.0  # s
 HEARTBEAT_TIMEOUT = 3.0  # s with no byte: a heartbeat is due every 2 s
 FINAL_CALLS_TIME = CONNECT_TIMEOUT + 0.6  # s of the deadline reserved for a connect timeout and one more call
-MIN_FIRST_BYTE_TIMEOUT = 0.5  # s, even if less time is left: the agent answers immediately
-RECONNECT_BACKOFF = BackoffRange(0.02, 0.1)  # s; the agent is on this machine, so calls are cheap
+MIN_FIRST_BYTE_TIMEOUT = 0.5  # s, even if less time is left: the discovery agent answers immediately
+RECONNECT_BACKOFF = BackoffRange(0.02, 0.1)  # s; the discovery agent is on this machine, so calls are cheap
 FAILED_CALL_BACKOFF = BackoffRange(0.1, 1.0)  # s; after a response without a list
 QUEUED_REJECTION_TIME = 0.5  # s; a call rejected later has waited in the queue of an overloaded discovery
 FLEET_CALL_RATE = 4.0  # calls per second of all ingresses to a discovery that queues and rejects calls
-MIN_CALL_INTERVAL = 0.1  # s between a response and the next call
-TRACKED_CALLS = 3  # an expired deadline restarts at the oldest: it covers two calls and the time before
+MIN_WAIT_LIMIT = 0.1  # s; lowest limit of a wait after a response, which lasts at least half of it
+# An expired deadline restarts at the start of the oldest tracked call. The new period thus includes the two
+# calls before the last one and the waits after them.
+TRACKED_CALLS = 3
 
 
 class CallEnd(Enum):
@@ -59,7 +61,9 @@
         self._random_fraction = random_fraction
         self._reconnect_backoff = Backoff(*RECONNECT_BACKOFF, random_fraction)
         self._failed_call_backoff = Backoff(*FAILED_CALL_BACKOFF, random_fraction)
-        self._stale_since = 0.0  # earlier changes have arrived or been late for several calls
+        # Since when the current list may have been stale. Earlier changes have been received, or their
+        # deadline has expired and was restarted.
+        self._stale_since = 0.0
         self._call_starts: deque[float] = deque(maxlen=TRACKED_CALLS)
         self._was_queued = False  # the last call was rejected after waiting in a queue
 
@@ -83,7 +87,7 @@
 
     def first_byte_timeout(self, now: float) -> float:
         """Returns the timeout in seconds for the first byte of a response."""
-        return min(HEARTBEAT_TIMEOUT, max(MIN_FIRST_BYTE_TIMEOUT, self._time_left(now)))
+        return min(HEARTBEAT_TIMEOUT, max(MIN_FIRST_BYTE_TIMEOUT, self._refresh_time_left(now)))
 
     def next_wait(self, end: CallEnd, now: float) -> float:
         """Returns the seconds to wait before the next call, after one that ended with `end`."""
@@ -93,18 +97,18 @@
             return self._reconnect_backoff.next_wait()
         last_call_start = self._call_starts[-1]
         is_queued = end is CallEnd.REJECTED and now - last_call_start >= QUEUED_REJECTION_TIME
-        if is_queued and self._was_queued:  # discovery is reachable, only overloaded
+        if is_queued and self._was_queued:  # overloaded but reachable: the deadline restarts
             self._stale_since = max(self._stale_since, last_call_start)
         self._was_queued = is_queued
-        time_left = max(MIN_CALL_INTERVAL, self._time_left(now))
+        time_left = max(MIN_WAIT_LIMIT, self._refresh_time_left(now))
         if is_queued and self._fleet_wait > FAILED_CALL_BACKOFF.longest:
             return min(self._fleet_wait, time_left) * (0.5 + self._random_fraction() / 2)
         return self._failed_call_backoff.next_wait(time_left)
 
-    def _time_left(self, now: float) -> float:
-        """Returns the seconds until the next call must begin.
+    def _refresh_time_left(self, now: float) -> float:
+        """Returns the seconds until the next call must begin, after restarting an expired deadline.
 
-        An expired deadline restarts at the oldest of the tracked calls.
+        The deadline restarts at the start of the oldest tracked call.
         """
         if now >= self._stale_since + self._next_call_within:
             self._stale_since = max(self._stale_since, self._call_starts[0])
--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -14,7 +14,7 @@
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, StreamStarted
 from quota_ingress.policy.settings import Idempotency, Settings
 
-RESPONSE_MARGIN = 15_000  # us before the client's deadline at which attempts time out
+RESPONSE_MARGIN = 15_000  # us; attempts time out this long before the client's deadline
 US_PER_SECOND = 1e6
 
 
@@ -25,7 +25,7 @@
         """Passes an event to the policy."""
 
     def mark_answered(self, request: Request) -> None:
-        """Marks a request as having its final answer; nothing more is sent to its client."""
+        """Marks a request as answered, so that its client gets no other answer."""
 
     def check_disconnected(self, request: Request) -> None:
         """Ends the request if its client has disconnected."""
@@ -54,7 +54,11 @@
         self._event_log = event_log
 
     def begin(self, request: Request, endpoint: int, timeout: int) -> None:
-        """Begins an attempt at `endpoint` that times out after `timeout` us; 0: at the client's deadline."""
+        """Begins an attempt at `endpoint`.
+
+        It times out after `timeout` us, unless that is 0, and at the latest RESPONSE_MARGIN before the
+        client's deadline.
+        """
         now = self._now()
         attempt = Attempt(len(request.attempts), endpoint, now)
         self._owner.check_disconnected(request)
@@ -88,7 +92,7 @@
         self._abort(request, request.attempts[number], Outcome.CANCELLED)
 
     def withdraw_unwritten(self, request: Request) -> None:
-        """Ends the attempts of a request that have not been written; the others continue."""
+        """Ends those attempts of a request whose last byte has not been written; the others continue."""
         for attempt in _in_flight(request):
             if attempt.exchange and attempt.exchange.withdraw():
                 self.end(request, attempt, AttemptResult(Outcome.NOT_SENT))
@@ -140,7 +144,7 @@
         self._owner.post(event)
 
     def _authorize(self, request: Request, attempt: Attempt) -> bytes | None:
-        """Returns the data written after the head: the Request-Timeout header and a buffered body.
+        """Checks the send rules and returns the data after the head: Request-Timeout and a buffered body.
 
         Returns None if the attempt may no longer begin.
         """
--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -41,7 +41,7 @@
         numbers: Number by name of the endpoints in the subset; a number is never reused.
         subset: This gateway's subset of the list.
         restored_at: Returns the time (us of the process's clock) at which operators put the named endpoint
-            back into service; 0 if they have not.
+            back online; 0 if they have not.
     """
 
     def __init__(self, settings: Settings, index: SettingsIndex, upstream: Upstream) -> None:
@@ -127,7 +127,7 @@
     def _found_older(
         self, registered: list[tuple[EndpointEntry, int]], now: int
     ) -> list[tuple[EndpointEntry, int]]:
-        """Returns endpoints outside `registered` that the start times in it show to be older than assumed."""
+        """Returns other endpoints that must be older than assumed, given the start times in `registered`."""
         older: set[str] = set()
         for entry, _ in registered:
             if entry.started_us != self.restored_at(entry.name):
@@ -136,7 +136,7 @@
         return [(self.directory[name], self.numbers[name]) for name in older if name in self.numbers]
 
     def _listed_endpoint(self, entry: EndpointEntry, number: int, now: int) -> ListedEndpoint:
-        started_at = entry.started_us  # already on this process's clock if operators put the endpoint back
+        started_at = entry.started_us  # already on this process's clock if operators put it back online
         if started_at != self.restored_at(entry.name):
             started_at = self._start_times.local_start(entry.name, entry.started_us, now)
         return ListedEndpoint(
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -1,7 +1,7 @@
 """The only caller of the policy: passes it events and executes its actions.
 
-The engine owns the requests with their attempts, deadlines and timers. It serves the policy as the simulator
-does in a simulation, and uses no sockets itself.
+The engine owns the requests with their attempts, deadlines and timers, and uses no sockets itself. In a
+simulation, the policy is called by the simulator instead.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 )
 from quota_ingress.policy.settings import Settings
 
-ANSWER_MARGIN = 10_000  # us before the client's deadline at which an unanswered request fails
+ANSWER_MARGIN = 10_000  # us; an unanswered request fails this long before the client's deadline
 US_PER_SECOND = 1e6
 
 log = logging.getLogger(__name__)
@@ -108,7 +108,10 @@
     # Events from clients.
 
     def on_request(self, parsed: ParsedRequest, client: Client) -> bool:
-        """Accepts a request. Returns False if its id is in use by another request."""
+        """Passes a request to the policy, or rejects it at once.
+
+        Returns False, without an answer to the client, if another request uses the id.
+        """
         now = self.now()
         if self._requests.is_duplicate(parsed.id, now):
             return False
@@ -160,8 +163,8 @@
         """Ends the request if its client has disconnected.
 
         Called when an attempt begins, so that none begins after the client has disconnected: the event loop
-        may read the connection's end late, and reading is paused while enough requests wait. The check takes
-        about 1 us.
+        may read the end of the stream late, and reading is paused while the connection's pipeline is full.
+        The check takes about 1 us.
         """
         if not request.answered and request.client.disconnected():
             self._end_disconnected(request)
@@ -203,6 +206,7 @@
         self.event_log.event("ended", reason, id=request.parsed.id)
         self.mark_answered(request)
         request.client.fail(timed_out=True)
+        # To the policy this is the same as a disconnect: the client no longer waits for an answer.
         self.post(ClientDisconnected(request.number))
 
     def _end_disconnected(self, request: Request) -> None:
@@ -211,7 +215,7 @@
         self.attempt_runner.withdraw_unwritten(request)
         self.post(ClientDisconnected(request.number))
 
-    # Events from discovery and from another process.
+    # Events from discovery and from the other process of an upgrade.
 
     def update_endpoints(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """Applies a snapshot or a delta of the endpoint list; `kind` is as in `EndpointRegistry.update`.
@@ -224,12 +228,12 @@
         self._handle_events()
 
     def hand_over(self) -> dict[str, Any]:
-        """Returns the policy's leases and learned state as a message for the other process of an upgrade."""
+        """Returns the policy's leases and statistics as a message for the other process of an upgrade."""
         names = {number: name for name, number in self.endpoints.numbers.items()}
         return snapshot_codec.encode(self._policy.hand_over(), names)
 
     def restore(self, message: dict[str, Any]) -> None:
-        """Restores the state that another process handed over; a malformed message is ignored as a whole."""
+        """Restores the state handed over by the other process; a malformed message is ignored as a whole."""
         try:
             snapshot = snapshot_codec.decode(message, self.endpoints.numbers)
         except snapshot_codec.SnapshotError as error:
--- a/quota_ingress/net/engine/ports.py
+++ b/quota_ingress/net/engine/ports.py
@@ -20,10 +20,10 @@
         """Processes one event at the time `now` (us) and returns the actions to execute."""
 
     def hand_over(self) -> PolicySnapshot:
-        """Returns leases and learned state for another process; the leases are given up here."""
+        """Returns the leases and statistics for the other process of an upgrade, and gives up the leases."""
 
     def restore(self, snapshot: PolicySnapshot) -> None:
-        """Takes over the leases and learned state that another process handed over."""
+        """Adopts the leases and statistics that the other process of an upgrade handed over."""
 
 
 class Timer(Protocol):
@@ -74,9 +74,10 @@
         """Adds or updates an entry of the endpoint list, before the policy is notified of it."""
 
     def reconcile(self, removed: Iterable[int]) -> None:
-        """Closes connections and withdraws attempts that the registered entries rule out.
+        """Closes idle connections and fails unwritten attempts to endpoints whose entries require it.
 
-        The endpoints `removed` are forgotten.
+        These are endpoints that have moved, have restarted or accept no more requests. The endpoints
+        `removed` are forgotten.
         """
 
     def send(
@@ -95,11 +96,13 @@
             backend: The endpoint's number.
             head: The request's head without its last lines, which `authorize` returns.
             on_ended: Called once with the result.
-            non_idempotent: The request must not be written a second time on another connection.
+            non_idempotent: The request cannot be retried after a connection reset, so a reused connection is
+                avoided while reused ones often end at their next request.
             body: The request's body, if it is streamed; None if `authorize` returns it.
             on_stream_started: Called with a streamed response when it begins, before `on_ended`.
-            authorize: Called immediately before the write. Returns the rest of the data, which depends on
-                the time of the write, or None if the attempt may no longer begin and ends as NOT_SENT.
+            authorize: Called immediately before the write to check the send rules once more. Returns the data
+                that is written after `head` and depends on the time of the write, or None if the attempt may
+                no longer begin; it then ends with NOT_SENT.
         """
 
     def probe(self, backend: int, on_ended: Callable[[AttemptResult], None]) -> None:
@@ -116,9 +119,9 @@
     """The client of the counter that all gateways share."""
 
     def add(self, name: int, amount: float, ttl_us: int, on_answer: OnAnswer) -> None:
-        """Adds `amount` units to a name, which expires after `ttl_us` if it is new.
+        """Adds `amount` units to the total of `name`; a new total expires `ttl_us` us after its creation.
 
-        `on_answer` is called with the outcome and, for Outcome.OK, the total under that name.
+        `on_answer` is called with the outcome and, for Outcome.OK, the total after the addition.
         """
 
 
@@ -126,7 +129,7 @@
     """The client of a request, to which exactly one final answer is sent."""
 
     def disconnected(self) -> bool:
-        """Returns whether the client has closed its connection, even if the socket's end is still unread."""
+        """Returns whether the client has closed its connection, even if the end of the stream is unread."""
 
     def respond(self, result: AttemptResult) -> None:
         """Sends an endpoint's complete response."""
@@ -135,7 +138,7 @@
         """Streams a response whose body is still being received and may be truncated."""
 
     def reject(self, retry_after: int) -> None:
-        """Sends a rejection: the client may safely retry after `retry_after` us (0: none is advised)."""
+        """Sends a rejection: the client may safely retry, after `retry_after` us unless that is 0."""
 
     def fail(self, timed_out: bool) -> None:
         """Sends a failure: the request may or may not have taken effect."""
--- a/quota_ingress/net/engine/settings_index.py
+++ b/quota_ingress/net/engine/settings_index.py
@@ -23,7 +23,10 @@
     """
 
     def __init__(self, settings: Settings, raw: Mapping[str, Any]) -> None:
-        """Indexes `settings`; `raw`, the settings as received, names zones, machine types and load fields."""
+        """Indexes `settings`.
+
+        The names of zones, machine types and load fields are read from `raw`, the settings as received.
+        """
         self.classes = {c.name.encode(): number for number, c in enumerate(settings.classes)}
         self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
         self.zones = _numbered(raw.get("failure_domains", ()))
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -234,7 +234,7 @@
         overrides.apply_list(
             endpoint_list(endpoint_fields(n, "removed"), endpoint_fields(n + 1), is_snapshot=False)
         )
-    assert len(overrides._removed_names) == 100 and list(overrides.entries) == [endpoint_fields(300)["name"]]
+    assert len(overrides._recorded_names) == 100 and list(overrides.entries) == [endpoint_fields(300)["name"]]
     assert [overrides.put_online(endpoint_fields(n)["name"]) for n in (0, 1, 299, 300, 301)] == [
         True,
         False,
