--- a/quota_ingress/net/discovery/operator_overrides.py
+++ b/quota_ingress/net/discovery/operator_overrides.py
@@ -21,7 +21,7 @@
 
 # Names recorded because operators' calls for removed endpoints are still accepted; as many as the largest
 # fleet removes in six hours.
-MAX_REMOVED_NAMES = 5000
+MAX_RECORDED_NAMES = 5000
 ENTRIES_PER_BATCH = 1000
 
 PublishList = Callable[[EndpointList, ListKind | None], None]
@@ -203,7 +203,7 @@
     def _record_name(self, name: str) -> None:
         self._recorded_names[name] = None
         self._recorded_names.move_to_end(name)
-        if len(self._recorded_names) > MAX_REMOVED_NAMES:
+        if len(self._recorded_names) > MAX_RECORDED_NAMES:
             self._recorded_names.popitem(last=False)
 
     def _publish_entry(self, name: str) -> None:
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -226,7 +226,7 @@
 
 
 def test_names_of_endpoints_replaced_long_ago_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(overrides_module, "MAX_REMOVED_NAMES", 100)
+    monkeypatch.setattr(overrides_module, "MAX_RECORDED_NAMES", 100)
     overrides = overrides_of_own_directory(lambda: 0)
     overrides.apply_list(endpoint_list(endpoint_fields(0)))
     overrides.take_offline(endpoint_fields(0)["name"])
