--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -139,7 +139,7 @@
             result.outcome,
             attempt.latency if attempt.streaming else self._latency(request, attempt),
             request.answered,
-            self._index.load(result.load) if result.load else (),
+            self._index.parse_load_report(result.load) if result.load else (),
         )
         self._owner.post(event)
 
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -342,7 +342,7 @@
         sent_at = self.now()
 
         def on_ended(result: AttemptResult) -> None:
-            load = self.index.load(result.load) if result.load else ()
+            load = self.index.parse_load_report(result.load) if result.load else ()
             self.post(ProbeAnswered(endpoint, result.outcome, self.now() - sent_at, load))
 
         self.upstream.probe(endpoint, on_ended)
--- a/quota_ingress/net/engine/settings_index.py
+++ b/quota_ingress/net/engine/settings_index.py
@@ -38,7 +38,7 @@
         self._load_fields |= {name.encode(): number for number, name in enumerate(settings.load_fields)}
         self._load_field_count = len(settings.load_fields)
 
-    def load(self, text: bytes) -> tuple[float, ...]:
+    def parse_load_report(self, text: bytes) -> tuple[float, ...]:
         """Parses a load report such as `inflight=7,queue=2` in the order of `Settings.load_fields`.
 
         The result is empty if a field is missing or its value is not a number from 0 to below MAX_LOAD_VALUE.
--- a/tests/test_settings_index.py
+++ b/tests/test_settings_index.py
@@ -13,4 +13,4 @@
     [b"", b"queue=", b"other=1", b"queue=1e", b"queue=nan", b"queue=-1", b"queue=inf", b"queue=9e9"],
 )
 def test_a_load_report_without_a_valid_value_of_every_field_is_empty(text: bytes) -> None:
-    assert SettingsIndex(SETTINGS, RAW).load(text) == ()
+    assert SettingsIndex(SETTINGS, RAW).parse_load_report(text) == ()
