--- a/quota_ingress/net/discovery/watch.py
+++ b/quota_ingress/net/discovery/watch.py
@@ -38,7 +38,7 @@
         fleet_size: int = 1,
         first_list_deadline: float = NOTIFICATION_DEADLINE,
         directory: EndpointDirectory | None = None,
-        trace: EventLog | None = None,
+        event_log: EventLog | None = None,
     ) -> None:
         """Makes no call before `start`.
 
@@ -49,7 +49,7 @@
             fleet_size: Number of ingresses that share the discovery service.
             first_list_deadline: Seconds within which the first list must arrive if discovery is reachable.
             directory: The current list; needed only if lists may be long.
-            trace: Receives an event for each list received and for the end of each call.
+            event_log: Receives an event for each list received and for the end of each call.
         """
         self.address = address
         self.version = version
@@ -57,7 +57,7 @@
         self.first_list_received = asyncio.Event()
         self.retry = WatchRetryPolicy(fleet_size, first_list_deadline)
         self._on_list = on_list
-        self._trace = trace or EventLog()
+        self._event_log = event_log or EventLog()
         self._peer_version = 0  # of the last list if it came from the other process of an upgrade; else 0
         self._task: asyncio.Task[None] | None = None
 
@@ -93,7 +93,7 @@
         if not endpoint_list.is_snapshot and endpoint_list.version <= self._peer_version:
             return
         self._peer_version = 0
-        self._trace.event(
+        self._event_log.event(
             "endpoint list received",
             "snapshot" if endpoint_list.is_snapshot else "delta",
             version=endpoint_list.version,
@@ -109,7 +109,7 @@
         while True:
             self.retry.on_call(loop.time())
             end = await self._call(needs_snapshot)
-            self._trace.event("watch ended", end.name.lower(), version=self.version)
+            self._event_log.event("watch ended", end.name.lower(), version=self.version)
             # After an empty response, further watches may be empty, too, so a snapshot is fetched.
             needs_snapshot = end is CallEnd.EMPTY or self.version is None
             if wait := self.retry.next_wait(end, loop.time()):
