--- a/quota_ingress/net/downstream/listener.py
+++ b/quota_ingress/net/downstream/listener.py
@@ -49,7 +49,7 @@
         self.hard_limit = descriptor_budget.client_hard_limit
         self.max_idle = max(MIN_MAX_IDLE, int(self.descriptors.limit * MAX_IDLE_FRACTION))
         self.now = now
-        self.request_parser = RequestParser(engine.settings, engine.index)
+        self.request_parser = RequestParser(engine.settings, engine.settings_index)
         self.stages = ConnectionStages()
         self.stopping = False
         self.handed_over = False
--- a/quota_ingress/net/engine/attempt_runner.py
+++ b/quota_ingress/net/engine/attempt_runner.py
@@ -39,7 +39,7 @@
         owner: RequestOwner,
         upstream: Upstream,
         settings: Settings,
-        index: SettingsIndex,
+        settings_index: SettingsIndex,
         loop: Loop,
         now: Callable[[], int],
         event_log: EventLog,
@@ -48,7 +48,7 @@
         self.settings = settings
         self._owner = owner
         self._upstream = upstream
-        self._index = index
+        self._settings_index = settings_index
         self._loop = loop
         self._now = now
         self._event_log = event_log
@@ -139,7 +139,7 @@
             result.outcome,
             attempt.latency if attempt.streaming else self._latency(request, attempt),
             request.answered,
-            self._index.parse_load_report(result.load) if result.load else (),
+            self._settings_index.parse_load_report(result.load) if result.load else (),
         )
         self._owner.post(event)
 
--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -44,14 +44,14 @@
             back online; 0 if they have not.
     """
 
-    def __init__(self, settings: Settings, index: SettingsIndex, upstream: Upstream) -> None:
+    def __init__(self, settings: Settings, settings_index: SettingsIndex, upstream: Upstream) -> None:
         """Starts empty. Entries are registered with `upstream` before the policy is notified of them."""
         self.directory = EndpointDirectory()
         self.numbers: dict[str, int] = {}
         self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
         self.restored_at: Callable[[str], int] = lambda name: 0
         self._settings = settings
-        self._index = index
+        self._settings_index = settings_index
         self._upstream = upstream
         self._start_times = StartTimes(age_tolerance(settings.safety))
         self._last_number = 0
@@ -142,9 +142,9 @@
         return ListedEndpoint(
             id=number,
             state=entry.state,
-            zone=self._index.zones.get(entry.zone, 0),
+            zone=self._settings_index.zones.get(entry.zone, 0),
             cell=entry.group,
-            kind=self._index.machine_types.get(entry.machine_type, 0),
+            kind=self._settings_index.machine_types.get(entry.machine_type, 0),
             weight=entry.weight,
             started_at=started_at,
             hash_key=hash_key(entry.name),
--- a/quota_ingress/net/engine/engine.py
+++ b/quota_ingress/net/engine/engine.py
@@ -67,7 +67,7 @@
         self,
         policy: Policy,
         settings: Settings,
-        index: SettingsIndex,
+        settings_index: SettingsIndex,
         upstream: Upstream,
         loop: Loop,
         now: Callable[[], int],
@@ -75,15 +75,17 @@
     ) -> None:
         """`now` returns the process's clock in us."""
         self.settings = settings
-        self.index = index
+        self.settings_index = settings_index
         self.upstream = upstream
         self.now = now
         self.event_log = event_log or EventLog()
         self.counter: CounterService | None = None
         self.in_flight = 0
         self.shutting_down = False
-        self.attempt_runner = AttemptRunner(self, upstream, settings, index, loop, now, self.event_log)
-        self.endpoints = EndpointRegistry(settings, index, upstream)
+        self.attempt_runner = AttemptRunner(
+            self, upstream, settings, settings_index, loop, now, self.event_log
+        )
+        self.endpoints = EndpointRegistry(settings, settings_index, upstream)
         self._policy = policy
         self._loop = loop
         self._requests = RequestTable(max(c.deadline for c in settings.classes), now)
@@ -342,7 +344,7 @@
         sent_at = self.now()
 
         def on_ended(result: AttemptResult) -> None:
-            load = self.index.parse_load_report(result.load) if result.load else ()
+            load = self.settings_index.parse_load_report(result.load) if result.load else ()
             self.post(ProbeAnswered(endpoint, result.outcome, self.now() - sent_at, load))
 
         self.upstream.probe(endpoint, on_ended)
