--- a/quota_ingress/net/engine/settings_index.py
+++ b/quota_ingress/net/engine/settings_index.py
@@ -23,7 +23,10 @@
     """
 
     def __init__(self, settings: Settings, raw: Mapping[str, Any]) -> None:
-        """Indexes `settings`; `raw`, the settings as received, names zones, machine types and load fields."""
+        """Indexes `settings`.
+
+        The names of zones, machine types and load fields are read from `raw`, the settings as received.
+        """
         self.classes = {c.name.encode(): number for number, c in enumerate(settings.classes)}
         self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
         self.zones = _numbered(raw.get("failure_domains", ()))
@@ -35,7 +38,7 @@
         self._load_fields |= {name.encode(): number for number, name in enumerate(settings.load_fields)}
         self._load_field_count = len(settings.load_fields)
 
-    def load(self, text: bytes) -> tuple[float, ...]:
+    def parse_load_report(self, text: bytes) -> tuple[float, ...]:
         """Parses a load report such as `inflight=7,queue=2` in the order of `Settings.load_fields`.
 
         The result is empty if a field is missing or its value is not a number from 0 to below MAX_LOAD_VALUE.
