--- a/quota_ingress/net/engine/snapshot_codec.py
+++ b/quota_ingress/net/engine/snapshot_codec.py
@@ -43,7 +43,7 @@
     return {
         "usual": list(snapshot.baseline_latencies),
         "typical": list(snapshot.mean_slowdowns),
-        "more": snapshot.fleet_headroom,
+        "more": snapshot.pooled_headroom,
         "congestion": snapshot.counter_congestion,
         "accounts": [_encode_customer(customer) for customer in snapshot.customers],
         "backends": [
@@ -66,11 +66,11 @@
     """
     try:
         congestion = message.get("congestion", message.get("crowd"))  # versions before 2026-12 wrote "crowd"
-        fleet_headroom, counter_congestion = _finite((message["more"], congestion))
+        pooled_headroom, counter_congestion = _finite((message["more"], congestion))
         return PolicySnapshot(
             baseline_latencies=_finite(message["usual"]),
             mean_slowdowns=_finite(message["typical"]),
-            fleet_headroom=fleet_headroom,
+            pooled_headroom=pooled_headroom,
             counter_congestion=counter_congestion,
             customers=tuple(_decode_customers(message["accounts"])),
             endpoints=tuple(
--- a/quota_ingress/policy/concurrency_limit.py
+++ b/quota_ingress/policy/concurrency_limit.py
@@ -35,7 +35,7 @@
         """Starts from `initial_limit`, this gateway's share of INITIAL_FLEET_LIMIT, in attempts."""
         self.initial_limit = initial_limit
         self.minimum = min(1.0, initial_limit / 4)  # of an endpoint's limit
-        self.fleet_headroom = 0.0  # attempts above the initial limit that have proved to be possible
+        self.pooled_headroom = 0.0  # attempts above the initial limit that have proved to be possible
         self._slowdowns = slowdowns
 
     def pooled_limit(self, ready: Sequence[Endpoint], ready_total: int) -> float:
@@ -51,12 +51,12 @@
         if self.initial_limit >= 1:
             return sum(endpoint.concurrency_limit for endpoint in ready) * ready_total / max(1, len(ready))
         initial = 1 + self.initial_limit * ready_total / 2
-        return initial / self._slowdowns.lowest_mean_slowdown + self.fleet_headroom
+        return initial / self._slowdowns.lowest_mean_slowdown + self.pooled_headroom
 
     def adjust(self, endpoint: Endpoint, step: float) -> None:
         """Changes an endpoint's limit by `step` attempts."""
         endpoint.concurrency_limit = max(self.minimum, endpoint.concurrency_limit + step)
 
     def adjust_headroom(self, step: float) -> None:
-        """Changes `fleet_headroom` by `step` attempts, down to 0."""
-        self.fleet_headroom = max(0.0, self.fleet_headroom + step)
+        """Changes `pooled_headroom` by `step` attempts, down to 0."""
+        self.pooled_headroom = max(0.0, self.pooled_headroom + step)
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -103,7 +103,7 @@
         return PolicySnapshot(
             baseline_latencies=tuple(self.endpoints.slowdowns.baseline_latencies),
             mean_slowdowns=tuple(self.endpoints.slowdowns.mean_slowdowns),
-            fleet_headroom=self.endpoints.limits.fleet_headroom,
+            pooled_headroom=self.endpoints.limits.pooled_headroom,
             counter_congestion=self.admission.call_pacing.congestion,
             customers=self.admission.hand_over(),
             endpoints=self.endpoints.hand_over(),
@@ -114,7 +114,7 @@
         class_count = len(self.settings.classes)
         if len(snapshot.baseline_latencies) == len(snapshot.mean_slowdowns) == class_count:
             self.endpoints.slowdowns.restore(snapshot.baseline_latencies, snapshot.mean_slowdowns)
-            self.endpoints.limits.fleet_headroom = max(0.0, snapshot.fleet_headroom)
+            self.endpoints.limits.pooled_headroom = max(0.0, snapshot.pooled_headroom)
             self.admission.call_pacing.set_congestion(snapshot.counter_congestion)
         self.endpoints.restore(snapshot.endpoints)
         self.admission.restore(snapshot.customers)
--- a/quota_ingress/policy/load_balancer.py
+++ b/quota_ingress/policy/load_balancer.py
@@ -25,7 +25,7 @@
 MIN_WEIGHT = 1e-3  # lower weights of endpoints count as this
 OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, where cross-zone traffic has a price
 BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit in use, from which on good answers raise the limit
-BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise `fleet_headroom`
+BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise `pooled_headroom`
 
 
 class LoadBalancer:
--- a/quota_ingress/policy/snapshot.py
+++ b/quota_ingress/policy/snapshot.py
@@ -51,7 +51,7 @@
 
     baseline_latencies: tuple[float, ...]  # us, by class
     mean_slowdowns: tuple[float, ...]  # by class
-    fleet_headroom: float
+    pooled_headroom: float
     counter_congestion: float  # factor on the interval between calls to a healthy counter
     customers: tuple[CustomerQuotaSnapshot, ...]
     endpoints: tuple[EndpointSnapshot, ...]
