--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -31,7 +31,7 @@
 from quota_ingress.policy.settings import Plan, Settings
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-OPTIONAL_WORK_MAX_USAGE = 0.6  # of all endpoints' capacity in use; from there on, no optional work is sent
+OPTIONAL_WORK_MAX_UTILIZATION = 0.6  # of the pooled limit; at or above it, no optional work is sent
 
 
 class RequestLifecycle(Protocol):
@@ -158,7 +158,7 @@
         plan = request.quota.plan
         if (
             plan.over_quota_earnings > plan.over_quota_cost
-            and self._endpoint_utilization() < OPTIONAL_WORK_MAX_USAGE
+            and self._endpoint_utilization() < OPTIONAL_WORK_MAX_UTILIZATION
         ):
             self._requests.send(request)
         else:
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -18,7 +18,7 @@
     SetTimer,
     SubscribeToEndpoints,
 )
-from quota_ingress.policy.admission import OPTIONAL_WORK_MAX_USAGE, AdmissionController
+from quota_ingress.policy.admission import OPTIONAL_WORK_MAX_UTILIZATION, AdmissionController
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.endpoint_list import EndpointsListed, ListKind
@@ -224,7 +224,7 @@
             return
         if not request.attempts:
             self.admission.on_timer(request)
-        elif self.endpoints.utilization() < OPTIONAL_WORK_MAX_USAGE:
+        elif self.endpoints.utilization() < OPTIONAL_WORK_MAX_UTILIZATION:
             self.send(request)
 
     def _on_endpoints_listed(self, event: EndpointsListed) -> None:
