--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -25,7 +25,7 @@
 )
 from quota_ingress.policy.quota_state import NEVER_ANSWERED, QuotaState
 from quota_ingress.policy.settings import Plan
-from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
+from quota_ingress.policy.snapshot import NO_LEASE_ANSWERED, CustomerQuotaSnapshot
 
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
@@ -232,7 +232,7 @@
             counted_usage=self.count.usage,
             counted_lease=self.count.leased_units,
             decayed_at=self.count.decayed_at,
-            lease_success_rate=NO_LEASE_REQUESTED if success_rate is None else success_rate,
+            lease_success_rate=NO_LEASE_ANSWERED if success_rate is None else success_rate,
         )
         self.count.leased_units = 0.0
         return snapshot
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -11,7 +11,7 @@
 from quota_ingress.policy.durations import SECOND
 from quota_ingress.policy.local_allowance import LocalAllowance
 from quota_ingress.policy.settings import Plan
-from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
+from quota_ingress.policy.snapshot import NO_LEASE_ANSWERED, CustomerQuotaSnapshot
 from quota_ingress.policy.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
@@ -167,5 +167,5 @@
             counted_usage=0.0,
             counted_lease=0.0,
             decayed_at=0,
-            lease_success_rate=NO_LEASE_REQUESTED,
+            lease_success_rate=NO_LEASE_ANSWERED,
         )
--- a/quota_ingress/policy/snapshot.py
+++ b/quota_ingress/policy/snapshot.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-NO_LEASE_REQUESTED = -1.0  # as a lease success rate
+NO_LEASE_ANSWERED = -1.0  # as a lease success rate
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_customer_quota.py
+++ b/tests/test_customer_quota.py
@@ -10,7 +10,7 @@
 from quota_ingress.policy.counted_quota import MAX_LEASED_QUOTA_GATEWAYS, CountedQuota
 from quota_ingress.policy.lease import LeaseStatistics
 from quota_ingress.policy.leased_quota import LeasedQuota
-from quota_ingress.policy.snapshot import NO_LEASE_REQUESTED, CustomerQuotaSnapshot
+from quota_ingress.policy.snapshot import NO_LEASE_ANSWERED, CustomerQuotaSnapshot
 from tests.helpers import PLANS, SECOND, arrival, gateway_with_endpoints
 
 COMMON_FIELDS: dict[str, Any] = {
@@ -37,7 +37,7 @@
     "counted_usage": 0.0,
     "counted_lease": 0.0,
     "decayed_at": 0,
-    "lease_success_rate": NO_LEASE_REQUESTED,
+    "lease_success_rate": NO_LEASE_ANSWERED,
 }
 FIELDS_AFTER_HAND_OVER: dict[str, Any] = {
     "local_allowance": 0.0,
@@ -87,7 +87,7 @@
 
 def test_the_state_without_any_lease_survives_the_hand_over() -> None:
     quota = new_quota(40)
-    assert quota.hand_over(customer=7, plan=0).lease_success_rate == NO_LEASE_REQUESTED
-    restored = replace(snapshot_of_both_kinds(40), lease_success_rate=NO_LEASE_REQUESTED)
+    assert quota.hand_over(customer=7, plan=0).lease_success_rate == NO_LEASE_ANSWERED
+    restored = replace(snapshot_of_both_kinds(40), lease_success_rate=NO_LEASE_ANSWERED)
     quota.restore(restored)
-    assert quota.hand_over(customer=7, plan=0).lease_success_rate == NO_LEASE_REQUESTED
+    assert quota.hand_over(customer=7, plan=0).lease_success_rate == NO_LEASE_ANSWERED
