--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -158,7 +158,7 @@
         self._statistics.record_answer()
         corrections: list[CounterCall] = []
         decay = math.exp(-event.latency / self.window)  # of the units added by the call, since it was made
-        total = event.total / self.count.weight(now, call.window_start)
+        total = event.total / self.count.weight(now, call.period_start)
         leased = call.leased_units * decay
         added = (call.leased_units + call.unreported_units) * decay
         if self._was_lost(total, added):
@@ -201,7 +201,7 @@
         self.lease_success_rate += SUCCESS_SMOOTHING * (float(has_units) - self.lease_success_rate)
 
     def _correction(self, call: CounterCall, now: int, units: float) -> CounterCall:
-        return self._call(call.counter_name, call.window_start, now, units)
+        return self._call(call.counter_name, call.period_start, now, units)
 
     def _call(
         self,
@@ -215,7 +215,7 @@
         return CounterCall(
             self,
             name,
-            window_start=epoch_start,
+            period_start=epoch_start,
             amount=(units + unreported) * self.count.weight(now, epoch_start),
             ttl=min(MAX_COUNTER_TTL, 2 * EPOCH_WINDOWS * self.window),
             leased_units=units,
--- a/quota_ingress/policy/lease.py
+++ b/quota_ingress/policy/lease.py
@@ -22,9 +22,9 @@
 PLAN_SUCCESS_SMOOTHING = 0.1  # weight of the last new customer in its plan's success rate
 
 
-def counter_name(customer: int, window_number: int) -> int:
+def counter_name(customer: int, period_number: int) -> int:
     """Returns the counter name for a customer and window, equal at every gateway."""
-    return mix(customer, window_number)
+    return mix(customer, period_number)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
     quota: CustomerQuota
     counter_name: int
-    window_start: int  # us; when that name came into use
+    period_start: int  # us; when that name came into use
     amount: float  # that the counter adds; for a counted quota, the units times their weight
     ttl: int  # us
     leased_units: float  # units of the call that are a lease or a correction
--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -39,11 +39,11 @@
         unreported = self.unreported_units
         self.unreported_units = 0.0
         self.lease_requested = True
-        window_number = now // self.window
+        period_number = now // self.window
         return CounterCall(
             self,
-            counter_name(request.customer, window_number),
-            window_start=window_number * self.window,
+            counter_name(request.customer, period_number),
+            period_start=period_number * self.window,
             amount=leased + unreported,
             ttl=self._counter_ttl(),
             leased_units=leased,
@@ -60,7 +60,7 @@
         self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
     ) -> list[CounterCall]:
         """Grants the leased units that the bucket covers; a correction returns the excess to the counter."""
-        refilled = self.plan.rate * (now - call.window_start) / SECOND
+        refilled = self.plan.rate * (now - call.period_start) / SECOND
         remaining_by_counter = self.plan.burst + refilled - event.total
         remaining_here = self.bucket.remaining(now) - call.leased_units
         remaining = min(remaining_by_counter, remaining_here)
@@ -91,7 +91,7 @@
         return CounterCall(
             self,
             call.counter_name,
-            call.window_start,
+            call.period_start,
             amount=units,
             ttl=self._counter_ttl(),
             leased_units=units,
