--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -171,7 +171,7 @@
         self.count.usage = total - excess
         self.count.leased_units += (leased - excess) / decay
         self.last_answer_at = now
-        self._record_lease(leased - excess, has_units=excess < leased)
+        self._record_lease(leased - excess, was_granted=excess < leased)
         return corrections
 
     def _was_lost(self, total: float, added: float) -> bool:
@@ -188,17 +188,17 @@
             return leased
         return excess
 
-    def _record_lease(self, granted: float, has_units: bool) -> None:
+    def _record_lease(self, granted: float, was_granted: bool) -> None:
         """Updates refill rate, local allowance and success rates after a lease of `granted` units."""
         self.refill_rate = min(self.plan.rate, granted / LEASE_DURATION_S)
-        if has_units:
+        if was_granted:
             self.local_allowance.spend(granted)
         else:
             self.local_allowance.units = 0.0
         if self.lease_success_rate is None:
             self.lease_success_rate = self._plan_leases.success_rate
-            self._plan_leases.record_first_lease(has_units)
-        self.lease_success_rate += SUCCESS_SMOOTHING * (float(has_units) - self.lease_success_rate)
+            self._plan_leases.record_first_lease(was_granted)
+        self.lease_success_rate += SUCCESS_SMOOTHING * (float(was_granted) - self.lease_success_rate)
 
     def _correction(self, call: CounterCall, now: int, units: float) -> CounterCall:
         return self._call(call.counter_name, call.period_start, now, units)
--- a/quota_ingress/policy/lease.py
+++ b/quota_ingress/policy/lease.py
@@ -49,9 +49,9 @@
     def __init__(self) -> None:
         self.success_rate = 1.0  # moving average of the fraction that were granted units
 
-    def record_first_lease(self, has_units: bool) -> None:
-        """Counts a customer's first lease; `has_units`: it was granted units."""
-        self.success_rate += PLAN_SUCCESS_SMOOTHING * (float(has_units) - self.success_rate)
+    def record_first_lease(self, was_granted: bool) -> None:
+        """Counts a customer's first lease; `was_granted`: it was granted units."""
+        self.success_rate += PLAN_SUCCESS_SMOOTHING * (float(was_granted) - self.success_rate)
 
 
 class LeaseStatistics:
