--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -39,11 +39,11 @@
         unreported = self.unreported_units
         self.unreported_units = 0.0
         self.lease_requested = True
-        period_number = now // self.window
+        window_number = now // self.window
         return CounterCall(
             self,
-            counter_name(request.customer, period_number),
-            period_start=period_number * self.window,
+            counter_name(request.customer, window_number),
+            period_start=window_number * self.window,
             amount=leased + unreported,
             ttl=self._counter_ttl(),
             leased_units=leased,
--- a/quota_ingress/policy/request_state.py
+++ b/quota_ingress/policy/request_state.py
@@ -34,7 +34,7 @@
     useful_until: int  # us; a later answer is not worth the work
     attempts: list[Attempt] = field(default_factory=list)  # in the order in which they were sent
 
-    def first_possible_run(self) -> Attempt | None:
+    def first_attempt_that_may_have_run(self) -> Attempt | None:
         """Returns the first attempt that may have run; None if none can have had any effect."""
         for attempt in self.attempts:
             if attempt.may_have_run:
--- a/quota_ingress/policy/retry_policy.py
+++ b/quota_ingress/policy/retry_policy.py
@@ -50,16 +50,16 @@
         for attempt in request.attempts:
             if attempt.in_flight and (attempt.endpoint is endpoint or not self._may_hedge):
                 return False
-        first_possible_run = request.first_possible_run()
+        earliest = request.first_attempt_that_may_have_run()
         request_class = request.request_class
-        if first_possible_run is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if earliest is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
-        remembered_until = first_possible_run.sent_at + request_class.deduplication_window
+        remembered_until = earliest.sent_at + request_class.deduplication_window
         if now + self._clock_tolerance >= remembered_until:
             return False
-        return _shares_keys(request_class.deduplication_scope, endpoint, first_possible_run.endpoint)
+        return _shares_keys(request_class.deduplication_scope, endpoint, earliest.endpoint)
 
     def timing(self, request: Request, now: int) -> AttemptTiming:
         """Returns the timeout of an attempt that begins now, and when to hedge it.
@@ -89,7 +89,10 @@
 def is_harmless_to_repeat(request: Request) -> bool:
     """Returns whether the client may repeat the request, at any endpoint, without a second effect."""
     request_class = request.request_class
-    if request_class.idempotency is Idempotency.IDEMPOTENT or request.first_possible_run() is None:
+    if (
+        request_class.idempotency is Idempotency.IDEMPOTENT
+        or request.first_attempt_that_may_have_run() is None
+    ):
         return True
     return _has_global_key(request_class)
 
