--- a/quota_ingress/policy/actions.py
+++ b/quota_ingress/policy/actions.py
@@ -9,8 +9,8 @@
 class SendAttempt:
     """Forwards a request to an endpoint."""
 
-    request: int
-    endpoint: int
+    request: int  # id
+    endpoint: int  # id
     timeout: int  # us; 0: until the client disconnects
 
 
@@ -18,7 +18,7 @@
 class Reject:
     """Answers a request with a final rejection, which asserts that repeating the request does no harm."""
 
-    request: int
+    request: int  # id
     retry_after: int = 0  # us; 0: no Retry-After
 
 
@@ -26,14 +26,14 @@
 class Fail:
     """Answers a request with a final failure, which leaves open whether the request took effect."""
 
-    request: int
+    request: int  # id
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
     """Cancels an attempt in flight."""
 
-    request: int
+    request: int  # id
     attempt: int  # index from 0, in the order of SendAttempt
 
 
@@ -41,7 +41,7 @@
 class SetTimer:
     """Schedules a TimerFired event."""
 
-    token: int
+    token: int  # id of the request for which it is set
     at: int  # us
 
 
--- a/quota_ingress/policy/concurrency_limit.py
+++ b/quota_ingress/policy/concurrency_limit.py
@@ -1,8 +1,9 @@
 """Adaptive concurrency: how many attempts may be in flight at an endpoint, and at all endpoints together.
 
-Limits rise while they are used and latency stays well within the objective, and fall otherwise (additive
-increase, bounded decrease). This handles overloaded, slow and thrashing endpoints. Its drawback: an endpoint
-whose service time alone exceeds the target gets few requests even when idle.
+Limits rise while they are used and latency stays well within the objective, and fall with every slow
+attempt, rejection and timeout (additive increase, bounded decrease). A limit that is not used stays as it is
+while answers are fast. This handles overloaded, slow and thrashing endpoints. Its drawback: an endpoint whose
+service time alone exceeds the target gets few requests even when idle.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 from quota_ingress.policy.outlier import SlowdownTracker
 
 INITIAL_FLEET_LIMIT = 16.0  # attempts in flight at an endpoint, from all gateways together
-TARGET_LATENCY_FRACTION = 0.32  # of the latency objective; an endpoint that takes longer is at capacity
-MAX_DECREASE = 1.0  # attempts per answer
+TARGET_LATENCY_FRACTION = 0.32  # of the latency objective; a slower endpoint is taken to be at capacity
+MAX_DECREASE = 1.0  # attempts per outcome
 INCREASE = 0.5  # attempts per answer, for a latency of 0
 
 
@@ -35,14 +36,18 @@
         """Starts from `initial_limit`, this gateway's share of INITIAL_FLEET_LIMIT, in attempts."""
         self.initial_limit = initial_limit
         self.minimum = min(1.0, initial_limit / 4)  # of an endpoint's limit
-        self.pooled_headroom = 0.0  # attempts above the initial limit that have proved to be possible
+        self.pooled_headroom = 0.0  # attempts above the initial pooled limit that fast answers have allowed
         self._slowdowns = slowdowns
 
     def pooled_limit(self, ready: Sequence[Endpoint], ready_total: int) -> float:
         """Returns how many attempts this gateway may have in flight at all endpoints together.
 
-        A gateway of a large fleet gets less than one attempt for each endpoint, since one from every gateway
-        would overload the endpoints, and fewer still while requests of all classes fail.
+        With an initial limit of at least 1, this is the mean limit of `ready` times `ready_total`.
+
+        In a larger fleet, one attempt per endpoint from every gateway would overload the endpoints. A gateway
+        then gets one attempt, plus half its initial limit for each ready endpoint. This is divided by the
+        lowest mean slowdown of a request class, which rises only if requests of all classes are slow or fail.
+        The headroom is added to the result.
 
         Args:
             ready: The ready endpoints among this gateway's candidates.
--- a/quota_ingress/policy/events.py
+++ b/quota_ingress/policy/events.py
@@ -43,7 +43,7 @@
 class AttemptEnded:
     """An attempt has ended."""
 
-    request: int
+    request: int  # id
     attempt: int  # index from 0, in the order of SendAttempt
     endpoint: int
     outcome: Outcome
@@ -57,7 +57,7 @@
 class StreamStarted:
     """A streamed response has begun: no other attempt can answer the request any more."""
 
-    request: int
+    request: int  # id
     attempt: int
     endpoint: int
     latency: int  # us
@@ -67,14 +67,14 @@
 class ClientDisconnected:
     """The client of a request has disconnected."""
 
-    request: int
+    request: int  # id
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
     """A timer set by SetTimer has expired."""
 
-    token: int
+    token: int  # id of the request for which it was set
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
     name: int
     outcome: Outcome
-    total: float  # units under that name, including those of this call
+    total: float  # of that name, including this call's amount
     latency: int  # us
 
 
--- a/quota_ingress/policy/gateway.py
+++ b/quota_ingress/policy/gateway.py
@@ -41,7 +41,7 @@
 from quota_ingress.policy.snapshot import PolicySnapshot
 
 SWEEP_INTERVAL = SECOND  # us between two sweeps that discard idle customers
-MIN_LATE_WEIGHT = 0.5  # from this weight of a late answer on, requests are attempted up to their deadline
+MIN_LATE_WEIGHT = 0.5  # of a late answer; at or above it, requests are attempted up to their deadline
 
 
 class InvalidSettingsError(ValueError):
@@ -52,7 +52,7 @@
     """Makes all decisions of one gateway in response to events."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Creates a gateway that knows no endpoints yet; `seed` is that of its random numbers.
+        """Creates a gateway that knows no endpoints yet; `seed` initializes its random numbers.
 
         Raises:
             InvalidSettingsError: A value of the settings is out of its range.
@@ -79,16 +79,16 @@
                 self._on_request(event)
             case AttemptEnded():
                 self._on_attempt_ended(event)
-            case TimerFired(token):
-                self._on_timer(token)
+            case TimerFired(request_id):
+                self._on_timer(request_id)
             case CounterAnswered():
                 self.admission.on_counter_answer(event)
             case EndpointsListed():
                 self._on_endpoints_listed(event)
-            case ClientDisconnected(request):
-                self._finish(request)
-            case StreamStarted(request, attempt):
-                self._finish(request, kept_attempt=attempt)
+            case ClientDisconnected(request_id):
+                self._finish(request_id)
+            case StreamStarted(request_id, attempt):
+                self._finish(request_id, kept_attempt=attempt)
         if now - self._swept_at > SWEEP_INTERVAL:
             self._swept_at = now
             self.admission.discard_idle_customers()
@@ -97,8 +97,8 @@
     def hand_over(self) -> PolicySnapshot:
         """Returns the leases and statistics for the process that replaces this one in an upgrade.
 
-        The gateway gives up its leases and unreported units: for requests that it still has to finish, it
-        requests new leases from the counter.
+        This gateway keeps neither leases nor unreported units. If requests that it still has to finish need
+        units, it requests new leases from the counter.
         """
         return PolicySnapshot(
             baseline_latencies=tuple(self.endpoints.slowdowns.baseline_latencies),
@@ -217,9 +217,9 @@
         request_id = request.event.request
         self._answer(request, Reject(request_id) if is_harmless_to_repeat(request) else Fail(request_id))
 
-    def _on_timer(self, token: int) -> None:
+    def _on_timer(self, request_id: int) -> None:
         """Decides on a deferred request again, or hedges a sent one while endpoints have spare capacity."""
-        request = self.requests.get(token)
+        request = self.requests.get(request_id)
         if request is None:
             return
         if not request.attempts:
@@ -251,7 +251,7 @@
 
 
 def _useful_time(request_class: RequestClass) -> int:
-    """Returns for how many us after a request's arrival an answer is still worth the work."""
+    """Returns how long after a request's arrival, in us, an answer is still worth the work."""
     if request_class.late_weight >= MIN_LATE_WEIGHT or request_class.objective_stretch > 0:
         return request_class.deadline
     return request_class.latency_objective
--- a/quota_ingress/policy/retry_policy.py
+++ b/quota_ingress/policy/retry_policy.py
@@ -14,9 +14,9 @@
 from quota_ingress.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 MIN_RETRY_TIME_FRACTION = 0.5  # of the baseline latency; a retry with less time left is not worth the work
-SLOW_ATTEMPT_BASELINES = 6  # baseline latencies after which an attempt is taken to be stuck ...
+SLOW_ATTEMPT_BASELINES = 6  # baseline latencies after which an attempt counts as slow ...
 SLOW_ATTEMPT_OBJECTIVE_FRACTION = 0.5  # ... but not before this fraction of the latency objective
-EARLY_TIMEOUT_FACTOR = 1.5  # early timeouts that must fit into the time left, to leave time for a retry
+EARLY_TIMEOUT_FACTOR = 1.5  # the time left must be above this many early timeouts, to leave time for a retry
 
 
 class AttemptTiming(NamedTuple):
@@ -32,7 +32,7 @@
     def __init__(self, settings: Settings, slowdowns: SlowdownTracker) -> None:
         self._max_attempts = settings.limits.max_attempts
         self._may_hedge = settings.limits.may_hedge
-        self._clock_tolerance = settings.tick  # us
+        self._window_margin = settings.tick  # us; no retry this close to the end of a deduplication window
         self._slowdowns = slowdowns
 
     def has_attempt_left(self, request: Request, now: int) -> bool:
@@ -57,15 +57,15 @@
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
         remembered_until = earliest.sent_at + request_class.deduplication_window
-        if now + self._clock_tolerance >= remembered_until:
+        if now + self._window_margin >= remembered_until:
             return False
         return _shares_keys(request_class.deduplication_scope, endpoint, earliest.endpoint)
 
     def timing(self, request: Request, now: int) -> AttemptTiming:
         """Returns the timeout of an attempt that begins now, and when to hedge it.
 
-        If the request may be sent once more, an unusually slow attempt is hedged or, without hedging, given
-        an early timeout that leaves time for a retry.
+        If the request may be sent once more, it is hedged when this attempt becomes unusually slow.
+        Without hedging, the attempt gets an early timeout, if that leaves time for a retry.
         """
         time_left = request.useful_until - now
         may_retry = len(request.attempts) + 1 < self._max_attempts
@@ -79,7 +79,7 @@
         return AttemptTiming(time_left, hedge_after=None)
 
     def _slow_after(self, request: Request) -> int:
-        """Returns the us after which an attempt counts as slow."""
+        """Returns the time, in us, after which an attempt counts as slow."""
         objective = request.request_class.latency_objective
         baseline = self._slowdowns.baseline_latencies[request.event.request_class]
         expected = baseline or objective / SLOW_ATTEMPT_BASELINES
@@ -87,7 +87,10 @@
 
 
 def is_harmless_to_repeat(request: Request) -> bool:
-    """Returns whether the client may repeat the request, at any endpoint, without a second effect."""
+    """Returns whether the request has no second effect if the client repeats it and any endpoint gets it.
+
+    With an idempotency key, this holds only within the deduplication window, which is not checked here.
+    """
     request_class = request.request_class
     if (
         request_class.idempotency is Idempotency.IDEMPOTENT
