--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -31,7 +31,7 @@
 from quota_ingress.policy.settings import Plan, Settings
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-OPTIONAL_WORK_MAX_UTILIZATION = 0.6  # of the pooled limit; at or above it, no optional work is sent
+OPTIONAL_WORK_MAX_UTILIZATION = 0.6  # of the pooled limit; from there on, no hedges, no over-quota requests
 
 
 class RequestLifecycle(Protocol):
@@ -43,7 +43,7 @@
     def send(self, request: Request) -> bool:
         """Sends the request's next attempt; returns whether one was sent.
 
-        A request whose first attempt cannot be sent has been rejected.
+        If the request's first attempt cannot be sent, the request is rejected.
         """
 
     def reject(self, request: Request, retry_after: int) -> None:
@@ -65,7 +65,7 @@
         Args:
             settings: The gateway's settings.
             rng: The gateway's source of random numbers.
-            endpoint_utilization: Returns the fraction of all endpoints' capacity that is in use.
+            endpoint_utilization: Returns the attempts in flight as a fraction of the pooled limit.
             requests: Forwards and answers requests once admission has decided on them.
         """
         self._settings = settings
@@ -113,7 +113,7 @@
             self._admit(request)
 
     def _admit(self, request: Request, answered: bool = False) -> None:
-        """Decides on a request; `answered`: the counter has just answered the lease it waited for."""
+        """Decides on a request; `answered`: the counter has just answered the lease that it waited for."""
         quota = request.quota
         now = self._requests.now
         if quota.plan.max_in_flight and quota.in_flight >= quota.plan.max_in_flight:
@@ -143,7 +143,8 @@
         now = self._requests.now
         fraction = quota.admitted_fraction_without_counter(now, units, request.event.is_retry)
         if self._rng.random() >= fraction:
-            # The draw uses up the units: a second draw for them would raise the probability of admission.
+            # A rejection uses up these units, too: a second draw for them would raise the probability of
+            # admission.
             quota.local_allowance.units -= units * fraction
             self._handle_over_quota(request)
         elif self._requests.send(request):
@@ -152,7 +153,7 @@
     def _handle_over_quota(self, request: Request) -> None:
         """Rejects a request over its quota, with Retry-After if the borrowing ring has capacity.
 
-        If the plan earns more beyond the quota than that costs, and the endpoints have spare capacity, the
+        If requests over the plan's quota earn more than they cost, and the endpoints have spare capacity, the
         request is sent instead.
         """
         plan = request.quota.plan
@@ -212,7 +213,7 @@
         }
 
     def hand_over(self) -> tuple[CustomerQuotaSnapshot, ...]:
-        """Returns the state of all customers; the gateway gives up its leases and unreported units."""
+        """Returns the state of all customers; the gateway keeps neither leases nor unreported units."""
         return tuple(
             quota.hand_over(customer, self._settings.plans.index(quota.plan))
             for customer, quota in self.customers.items()
--- a/quota_ingress/policy/borrowing_ring.py
+++ b/quota_ingress/policy/borrowing_ring.py
@@ -1,9 +1,9 @@
 """The borrowing ring: the second stage of Abacus Filters.
 
 A request that the token bucket does not cover books capacity in a future slot. If a slot has capacity, the
-client is told to retry after one slot; otherwise it is rejected without Retry-After. Every slot without
-capacity that the search skipped counts one borrowed retry: a client that retries in it is told to wait one
-more slot, without another search, until it reaches the slot that was booked for it.
+client is told to retry after one slot; otherwise it is rejected without Retry-After. Every slot that the
+search skips for lack of capacity counts one borrowed retry: a client that retries in such a slot is told,
+without another search, to wait one more slot, until it reaches the slot that was booked for it.
 """
 
 from __future__ import annotations
--- a/quota_ingress/policy/call_pacing.py
+++ b/quota_ingress/policy/call_pacing.py
@@ -14,11 +14,11 @@
 from quota_ingress.policy.events import Outcome
 from quota_ingress.policy.settings import CounterLimits
 
-FLEET_CALLS_PER_TIMEOUT = 64.0  # by all gateways together: more than a healthy counter has queued
-MIN_CALL_INTERVAL = 7_000  # us; a call and its answer take about 50 bytes of 8 KB/s for control traffic
+FLEET_CALLS_PER_TIMEOUT = 64.0  # of all gateways together; a healthy counter has fewer calls queued
+MIN_CALL_INTERVAL = 7_000  # us; a call takes about 50 bytes with its answer; control traffic may use 8 KB/s
 MAX_CONGESTION = 32.0  # leaves about one trial call a second
 MAX_CALL_INTERVAL = 1.5 * SECOND  # us, unless the fleet's size alone makes it longer
-BURST_SPAN = SECOND  # us whose calls may be made at once after a pause, at a congestion of 1 or less
+BURST_SPAN = SECOND  # us; its calls may be made at once after a pause, at a congestion of 1 or less
 LOSS_FREE_SPAN = 3 * SECOND  # us without a lost call, after which the counter is taken to reject no calls
 PROMPT_FRACTION = 0.25  # of the counter's timeout: a faster answer did not queue at the counter
 LONG_AGO = -60 * SECOND  # us; before any event of the process
@@ -34,9 +34,10 @@
 class CallPacing:
     """Paces one gateway's calls to the counter.
 
-    A counter that is slow, unresponsive, rejecting calls or overloaded is called less often, and each call
-    requests more units. Meanwhile each gateway of a customer admits the quota divided by the number of its
-    gateways; a customer whose requests all come through one of them waits longer for its units.
+    A counter that is slow, unresponsive, rejecting calls or overloaded is called less often; each call of a
+    `LeasedQuota` then requests more units. Meanwhile each gateway of a customer admits the quota divided by
+    the number of its gateways; a customer whose requests all come through one of them waits longer for its
+    units.
 
     Below a congestion of 1, latency is the signal: a counter that answers promptly is called increasingly
     often, whatever the fleet's size. A queue at the counter stops the increase before calls are rejected.
@@ -59,7 +60,7 @@
 
     @property
     def burst_span(self) -> float:
-        """The us whose calls may be made at once after a pause."""
+        """The time, in us, whose calls may be made at once after a pause."""
         return BURST_SPAN / max(1.0, self.congestion)
 
     def may_call(self, now: int) -> bool:
@@ -101,8 +102,8 @@
         else:
             factor = IN_TIME_FACTOR if latency <= self._timeout else LATE_FACTOR
         if is_prompt and now - self._last_lost_at > LOSS_FREE_SPAN:
-            # Counts for the calls that congestion prevented as well. Otherwise recovery after an outage would
-            # take longer the larger the fleet, as each of its gateways makes only one call a second.
+            # The answer also counts for the calls that congestion prevented. Otherwise recovery after an
+            # outage would take longer the larger the fleet, as each gateway makes only one call a second.
             return float(factor ** max(1.0, self.congestion))
         if is_answered and not is_prompt and self.congestion <= 1:
             return QUEUED_FACTOR
--- a/quota_ingress/policy/counted_quota.py
+++ b/quota_ingress/policy/counted_quota.py
@@ -32,15 +32,15 @@
 
 MAX_LEASED_QUOTA_GATEWAYS = 12  # customers with more gateways have a counted quota
 MIN_RETENTION = 60 * SECOND  # us
-MAX_LEASE_FRACTION = 0.25  # of the available units: the most that one gateway leases in advance
+MAX_LEASE_FRACTION = 0.25  # of the available units; a lease contains at most this for further requests
 MAX_DEFER_FRACTION = 0.1  # of the latency objective: the longest wait for a call to the counter
 LIKELY_SUCCESS_RATE = 0.5  # of leases; above it, a request is deferred until the counter may be called
 SUCCESS_SMOOTHING = 0.6  # weight of the last lease in the success rate
-LOST_COUNT_TOLERANCE = 0.99  # a total below this fraction of what the call just added means a lost count
+MIN_COUNTED_FRACTION = 0.99  # of what a call has just added; a lower total means that units were lost
 
 
 class CountedQuota(QuotaState):
-    """Leases units from the decaying count, as long as the count of all gateways is under its limit."""
+    """Leases units as long as the decaying count of the units used by all gateways is under its limit."""
 
     __slots__ = (
         "_plan_leases",
@@ -80,11 +80,13 @@
         if self.count.leased_units >= units and not self.waiting:
             return Decision.ADMIT
         if answered or (available < units and not self.lease_requested):
-            return Decision.OVER_QUOTA  # other gateways can only have used more since the last answer
+            return Decision.OVER_QUOTA  # other gateways have probably used units since the last answer
         if self.lease_requested:
             return Decision.AWAIT_LEASE
         success_rate = self._expected_success_rate()
-        if pacing.unused_fraction(now) >= 1 - success_rate:  # unlikely leases leave calls for likely ones
+        # The less likely a lease is to be granted, the more calls must be unused: the rest is left for
+        # likelier leases.
+        if pacing.unused_fraction(now) >= 1 - success_rate:
             return Decision.REQUEST_LEASE
         if self._is_lightly_used(now, units, available):
             return Decision.ADMIT  # the next call reports the units
@@ -128,7 +130,11 @@
         self.count.leased_units -= units
 
     def request_lease(self, now: int, congestion: float) -> CounterCall:
-        """Returns the call for the first waiting request and whole requests of expected demand."""
+        """Returns the call for a lease of the first waiting request and of further requests of its size.
+
+        Further requests are leased as far as they are expected within the lease's duration and fit into
+        MAX_LEASE_FRACTION. The size of the lease does not depend on `congestion`.
+        """
         request = self.waiting[0].event
         units = request.units
         available = self.count.available(units) - units
@@ -140,7 +146,7 @@
         return self._call(name, self.count.epoch_start(now), now, units + extra, unreported, is_lease=True)
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
+        """Leaves a call's `unreported_units` to the next call if the counter did not add them."""
         self.count.decay_to(now)
         if not was_added:
             self.count.leased_units -= call.unreported_units
@@ -150,18 +156,19 @@
     ) -> list[CounterCall]:
         """Grants the leased units that fit under the count's limit; a correction returns the excess.
 
-        Units spent without the counter are missing from the count. To the extent that this happens, excess
-        leases are left in the count: that saves calls when the counter has no capacity for all of them, and
-        it affects the same customers, those at their limit. Leaving more would starve a customer that
-        requests several times its quota.
+        Units spent without the counter are missing from the count until the next call reports them. An excess
+        left in the count makes up for such units, and saves calls when the counter has no capacity for all of
+        them. Both affect the customers at their limit. The excess is therefore returned only with a
+        probability, the square of the fraction of answered leases. With a lower probability, a customer that
+        requests several times its quota would starve.
         """
         self._statistics.record_answer()
         corrections: list[CounterCall] = []
-        decay = math.exp(-event.latency / self.window)  # of the units added by the call, since it was made
+        decay = math.exp(-event.latency / self.window)  # of the call's units, since the call was made
         total = event.total / self.count.weight(now, call.period_start)
         leased = call.leased_units * decay
         added = (call.leased_units + call.unreported_units) * decay
-        if self._was_lost(total, added):
+        if self._lacks_units(total, added):
             missing = max(0.0, self.count.usage + added - max(total, 0.0))
             corrections.append(self._correction(call, now, missing))
             total = max(total, 0.0) + missing
@@ -174,14 +181,17 @@
         self._record_lease(leased - excess, was_granted=excess < leased)
         return corrections
 
-    def _was_lost(self, total: float, added: float) -> bool:
-        """Returns whether the counter lacks units known here: its name is new, or the counter restarted."""
-        if total < LOST_COUNT_TOLERANCE * added:
+    def _lacks_units(self, total: float, added: float) -> bool:
+        """Returns whether the counter lacks units known here: an epoch began, or the counter restarted."""
+        if total < MIN_COUNTED_FRACTION * added:
             return True
         return self.count.usage + added - total > self.plan.burst / 2
 
     def _excess(self, leased: float, total: float, decay: float) -> float:
-        """Returns the leased units over the count's limit; all of them if the rest covers no request."""
+        """Returns the leased units over the count's limit.
+
+        If the rest does not cover the first waiting request, these are all leased units.
+        """
         units = self.waiting[0].event.units if self.waiting else 0.0
         excess = min(leased, max(0.0, total - self.count.limit(units)))
         if self.count.leased_units + leased - excess < units * decay:
@@ -224,7 +234,7 @@
         )
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
+        """Returns the state of `customer`, whose plan has index `plan`; clears leases and allowances here."""
         success_rate = self.lease_success_rate
         snapshot = replace(
             super().hand_over(customer, plan),
--- a/quota_ingress/policy/customer_quota.py
+++ b/quota_ingress/policy/customer_quota.py
@@ -45,7 +45,7 @@
     in_flight: int  # attempts
     waiting: list[Request]  # for the answer to the requested lease
     lease_requested: bool
-    retention: int  # us after the last request for which the state is kept
+    retention: int  # us for which the state is kept after the last request
 
     def record_arrival(self, now: int, units: float, is_retry: bool) -> None:
         """Counts a request towards the demand; refills the local allowance and the ceiling."""
@@ -78,12 +78,12 @@
     def request_lease(self, now: int, congestion: float) -> CounterCall:
         """Returns the call for a lease that covers the first waiting request and some expected demand.
 
-        The call also reports units spent without the counter. `congestion` is that of the call pacing: the
-        rarer the calls, the larger the lease.
+        The call also reports units spent without the counter. `congestion` is that of the call pacing; a
+        `LeasedQuota` leases more units at once under congestion, as it can make fewer calls.
         """
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
+        """Leaves a call's `unreported_units` to the next call if the counter did not add them."""
 
     def on_lease_answer(
         self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
@@ -98,7 +98,7 @@
         """Returns the requests that waited for a lease, and marks no lease as requested."""
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
+        """Returns the state of `customer`, whose plan has index `plan`; clears leases and allowances here."""
 
     def restore(self, snapshot: CustomerQuotaSnapshot) -> None:
         """Adopts the state that another process handed over."""
--- a/quota_ingress/policy/decaying_count.py
+++ b/quota_ingress/policy/decaying_count.py
@@ -11,7 +11,7 @@
 
 import math
 
-EPOCH_WINDOWS = 8  # windows per epoch; weights grow by a factor of e in each, few enough to stay exact
+EPOCH_WINDOWS = 8  # windows per epoch: few enough for exact totals, as weights grow by a factor of e in each
 
 
 class DecayingCount:
@@ -23,7 +23,7 @@
         """Creates an empty count for a bucket of `capacity` units that fills in `window` us."""
         self.capacity = capacity
         self.window = window
-        self.usage = 0.0  # units used or leased by all gateways, by the counter's last answer
+        self.usage = 0.0  # units used or leased by all gateways, according to the counter's last answer
         self.leased_units = 0.0  # leased here and not spent; below 0: spent here and not reported
         self.decayed_at = 0
 
--- a/quota_ingress/policy/lease.py
+++ b/quota_ingress/policy/lease.py
@@ -16,14 +16,14 @@
     from quota_ingress.policy.customer_quota import CustomerQuota
     from quota_ingress.policy.settings import Plan
 
-LEASE_DURATION_S = 1.0  # of expected demand per lease; shorter ones cost more calls, longer ones strand units
+LEASE_DURATION_S = 1.0  # of expected demand per lease; less costs more calls, more leaves units unused
 MAX_COUNTER_TTL = 60 * SECOND  # us
 ANSWERED_SMOOTHING = 0.03  # weight of the last lease or request in the answered fraction
 PLAN_SUCCESS_SMOOTHING = 0.1  # weight of the last new customer in its plan's success rate
 
 
 def counter_name(customer: int, period_number: int) -> int:
-    """Returns the counter name for a customer and window, equal at every gateway."""
+    """Returns the counter name for a customer in a window or epoch, equal at every gateway."""
     return mix(customer, period_number)
 
 
@@ -33,7 +33,7 @@
 
     quota: CustomerQuota
     counter_name: int
-    period_start: int  # us; when that name came into use
+    period_start: int  # us; start of the window or epoch with that name
     amount: float  # that the counter adds; for a counted quota, the units times their weight
     ttl: int  # us
     leased_units: float  # units of the call that are a lease or a correction
@@ -50,7 +50,7 @@
         self.success_rate = 1.0  # moving average of the fraction that were granted units
 
     def record_first_lease(self, was_granted: bool) -> None:
-        """Counts a customer's first lease; `was_granted`: it was granted units."""
+        """Counts a customer's first lease; `was_granted`: at least a part of it was granted."""
         self.success_rate += PLAN_SUCCESS_SMOOTHING * (float(was_granted) - self.success_rate)
 
 
@@ -58,7 +58,7 @@
     """Results of leases over all customers with a counted quota, and by their plans."""
 
     def __init__(self, plans: tuple[Plan, ...]) -> None:
-        self.answered_fraction = 1.0  # moving average: answered leases 1, requests admitted without one 0
+        self.answered_fraction = 1.0  # moving average; 1: an answered lease, 0: a request without an answer
         self.by_plan = {plan: PlanLeases() for plan in plans}
 
     def record_answer(self) -> None:
--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -12,7 +12,7 @@
 from quota_ingress.policy.settings import Plan
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-UNKNOWN_USE_BURST_FRACTION = 1 / 8  # of a burst: fewer units unknown to the counter are not reported to it
+UNKNOWN_USE_BURST_FRACTION = 1 / 8  # of a burst; if the counter lacks fewer units, none are added to it
 
 
 class LeasedQuota(QuotaState):
@@ -52,7 +52,7 @@
         )
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
+        """Leaves a call's `unreported_units` to the next call if the counter did not add them."""
         if not was_added:
             self.unreported_units += call.unreported_units
 
@@ -106,7 +106,7 @@
         self.unreported_units = min(self.plan.burst, self.unreported_units + units)
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
+        """Returns the state of `customer`, whose plan has index `plan`; clears leases and allowances here."""
         snapshot = replace(super().hand_over(customer, plan), unreported_units=self.unreported_units)
         self.unreported_units = 0.0
         return snapshot
--- a/quota_ingress/policy/local_allowance.py
+++ b/quota_ingress/policy/local_allowance.py
@@ -4,7 +4,7 @@
 
 
 class LocalAllowance:
-    """Units that may be spent without the counter: the bucket divided by the number of gateways."""
+    """A token bucket that needs no counter: the shared bucket divided by the number of gateways."""
 
     __slots__ = ("capacity", "refill_rate", "units")
 
@@ -20,7 +20,7 @@
         self.units = min(self.capacity, self.units + self.refill_rate * elapsed_s)
 
     def refill_to_fit(self, elapsed_s: float, request_units: float) -> None:
-        """Refills the share for `elapsed_s` seconds, up to one request if that exceeds its capacity."""
+        """Refills the share for `elapsed_s` seconds, up to its capacity or one request if that is more."""
         self.units = min(max(request_units, self.capacity), self.units + self.refill_rate * elapsed_s)
 
     def spend(self, units: float) -> None:
--- a/quota_ingress/policy/quota_state.py
+++ b/quota_ingress/policy/quota_state.py
@@ -17,11 +17,11 @@
 if TYPE_CHECKING:
     from quota_ingress.policy.request_state import Request
 
-NEVER_ANSWERED = -60 * SECOND  # us; a last answer before any event of the process
+NEVER_ANSWERED = -60 * SECOND  # us; time of the last answer if there is none, before any event of the process
 
 
 class QuotaState:
-    """The base class of customer quotas: decides by the leased units and the bound of the shared bucket."""
+    """The base class of customer quotas: decides by leased units and the upper bound of the shared bucket."""
 
     __slots__ = (
         "bucket",
@@ -53,7 +53,7 @@
         self.window = SECOND  # us in which an unused bucket fills up
         if plan.rate:
             self.window = max(SECOND, int(plan.burst / plan.rate * SECOND))
-        self.retention = 3 * self.window  # us after the last request for which the state is kept
+        self.retention = 3 * self.window  # us for which the state is kept after the last request
         self.bucket = TokenBucket(plan.rate, plan.burst, now)
         self.local_allowance = LocalAllowance(plan.rate, plan.burst, gateway_count, units=plan.burst)
         # Starts empty: the gateway may have spent its share just before a restart.
@@ -122,7 +122,7 @@
         even_share = self.plan.burst / self.gateway_count if is_retry else remaining
         covered_fraction = min(self.local_allowance.units, remaining, even_share) / units if units else 1.0
         if self.plan.burst >= units * self.gateway_count:
-            covered_fraction = covered_fraction // 1  # a share covers a request: no admission by chance
+            covered_fraction = covered_fraction // 1  # an even share covers a request: no admission at random
         return covered_fraction
 
     def spend_without_counter(self, now: int, units: float) -> None:
@@ -131,7 +131,7 @@
         self.bucket.set_remaining(self.bucket.remaining(now) - units, now)
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
+        """Returns the state of `customer`, whose plan has index `plan`; clears leases and allowances here."""
         snapshot = self._snapshot(customer, plan)
         self.bucket.leased_units = 0.0
         self.local_allowance.units = 0.0
@@ -149,7 +149,7 @@
         self.demand.updated_at = snapshot.demand_at
 
     def _snapshot(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the common state; the fields of one kind alone have the values of a new customer."""
+        """Returns the state common to both kinds; the other fields have the values of a new customer."""
         return CustomerQuotaSnapshot(
             customer=customer,
             plan=plan,
--- a/quota_ingress/policy/snapshot.py
+++ b/quota_ingress/policy/snapshot.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-NO_LEASE_ANSWERED = -1.0  # as a lease success rate
+NO_LEASE_ANSWERED = -1.0  # the lease success rate before the first answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     counted_usage: float  # units
     counted_lease: float  # units
     decayed_at: int
-    lease_success_rate: float  # below 0: no lease was requested
+    lease_success_rate: float  # below 0: no lease was answered yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
     baseline_latencies: tuple[float, ...]  # us, by class
     mean_slowdowns: tuple[float, ...]  # by class
-    pooled_headroom: float
+    pooled_headroom: float  # attempts
     counter_congestion: float  # factor on the interval between calls to a healthy counter
     customers: tuple[CustomerQuotaSnapshot, ...]
     endpoints: tuple[EndpointSnapshot, ...]
