--- a/quota_ingress/policy/endpoint.py
+++ b/quota_ingress/policy/endpoint.py
@@ -14,9 +14,9 @@
 
     entry: ListedEndpoint
     concurrency_limit: float = 0.0  # attempts in flight at once; 0: not yet set
-    slowdown_by_class: list[float] = field(default_factory=list)  # latency over baseline, at last_outcome_at
+    slowdown_by_class: list[float] = field(default_factory=list)  # latency / baseline, at last_outcome_at
     in_flight: int = 0  # attempts of this gateway
     last_outcome_at: int = 0  # us; when slowdown_by_class was last updated
-    slow_start_credit: float = 0.0  # fraction of a request accumulated during slow start; due at 1
+    slow_start_credit: float = 0.0  # accumulated during slow start; at 1, a request is due
     reported_load: float = 0.0  # from the last load report
     reported_at: int = -SECOND  # us
--- a/quota_ingress/policy/endpoint_list.py
+++ b/quota_ingress/policy/endpoint_list.py
@@ -44,4 +44,4 @@
     kind: ListKind
     version: int
     endpoints: tuple[ListedEndpoint, ...]
-    ready_total: int = 0  # number of all ready endpoints where only part of the list is sent; 0: all of it is
+    ready_total: int = 0  # number of all ready endpoints, if the list is only a part; 0: it is whole
--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -121,7 +121,7 @@
             del self.listed_endpoints[endpoint_id]
 
     def _reconcile(self, endpoint_id: int) -> None:
-        """Updates an endpoint's membership of the candidate sets to the list and the subset."""
+        """Adds the endpoint to the candidate sets or removes it, according to the list and the subset."""
         entry = self.listed_endpoints.get(endpoint_id)
         hash_key = entry.hash_key or endpoint_id if entry else 0
         if entry is None or not self.subset.is_candidate(hash_key):
--- a/quota_ingress/policy/load_balancer.py
+++ b/quota_ingress/policy/load_balancer.py
@@ -23,9 +23,9 @@
 LOAD_FIELDS = ("queue", "inflight", "util")  # fields of a load report that grow with an endpoint's load
 MAX_REPORTED_LOAD = 1e6
 MIN_WEIGHT = 1e-3  # lower weights of endpoints count as this
-OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, where cross-zone traffic has a price
-BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit in use, from which on good answers raise the limit
-BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise `pooled_headroom`
+OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, if cross-zone traffic has a price
+BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit; if this is in use, fast answers raise the limit
+BUSY_UTILIZATION = 0.5  # of the pooled limit; if more is in use, fast answers raise `pooled_headroom`
 
 
 class LoadBalancer:
--- a/quota_ingress/policy/outlier.py
+++ b/quota_ingress/policy/outlier.py
@@ -12,7 +12,7 @@
 from quota_ingress.policy.endpoint import Endpoint
 from quota_ingress.policy.events import Outcome
 
-FAILURE_SLOWDOWN = 4.0  # times the baseline latency: the slowdown of a failure, and the maximum of an answer
+FAILURE_SLOWDOWN = 4.0  # baseline latencies: the slowdown of a failure, and the maximum for an answer
 UNREACHABLE_SLOWDOWN = 3 * FAILURE_SLOWDOWN  # for all classes, if connecting failed or a connection was reset
 SLOWDOWN_MEMORY = 5.0  # s; time constant with which an endpoint's slowdown decays to the mean
 MAX_MEMORY_STRETCH = 4.0  # maximum factor on SLOWDOWN_MEMORY for a gateway that sends rarely
--- a/quota_ingress/policy/slow_start.py
+++ b/quota_ingress/policy/slow_start.py
@@ -10,16 +10,16 @@
 from quota_ingress.policy.outlier import SlowdownTracker
 from quota_ingress.policy.settings import Safety
 
-SLOW_START_BUDGET_FRACTION = 0.8  # of the overload budget: work varies by request, list delays by gateway
-TOLERATED_SLOWDOWN = 2.0  # times the mean; warming endpoints are slower, and get fewer requests beyond this
-DEFERRED_REQUEST_WEIGHT = 0.5  # of a sent one: at twice the capacity, a weight of 1 would use up the budget
+SLOW_START_BUDGET_FRACTION = 0.8  # of the overload multiple; work varies by request, list delays by gateway
+TOLERATED_SLOWDOWN = 2.0  # times the mean, as warming endpoints are slower; above it, they get fewer requests
+DEFERRED_REQUEST_WEIGHT = 0.5  # of a sent one; at twice the capacity, a weight of 1 would use up the budget
 
 
 class SlowStart:
     """Decides which requests of this gateway go to warming endpoints."""
 
     def __init__(self, safety: Safety, slowdowns: SlowdownTracker) -> None:
-        self.deferred_requests = 0.0  # per endpoint; rejected in an overload since the last one that was sent
+        self.deferred_requests = 0.0  # weighted, per preferred endpoint; not sent during the overload
         self._initial_fraction = safety.initial_capacity_fraction
         self._warmup_time = max(1, safety.warmup_time)
         self._budget = SLOW_START_BUDGET_FRACTION * safety.overload_multiple
@@ -32,7 +32,7 @@
         return min(1.0, self._initial_fraction + (1 - self._initial_fraction) * max(0.0, warmed_up))
 
     def defer(self, endpoint_count: int) -> None:
-        """Counts a request rejected in an overload, which raises the warming endpoints' next credits."""
+        """Counts a request not sent in an overload, which raises the warming endpoints' next credits."""
         self.deferred_requests += DEFERRED_REQUEST_WEIGHT / max(1, endpoint_count)
 
     def next_warming_endpoint(
--- a/quota_ingress/simulator/adapter.py
+++ b/quota_ingress/simulator/adapter.py
@@ -25,7 +25,8 @@
         """Dispatches the messages of a batch to their instances.
 
         Returns:
-            Pairs of an instance with messages in the batch, unless it was stopped, and its gateway's actions.
+            Pairs of an instance number and its gateway's actions, for each instance that had messages in the
+            batch and was not stopped.
 
         Raises:
             WireError: A message is for an instance that was not created.
--- a/quota_ingress/simulator/wire.py
+++ b/quota_ingress/simulator/wire.py
@@ -67,8 +67,8 @@
 
 
 LENGTH = struct.Struct("<I")  # bytes of the frame after this field
-BATCH_HEADER = struct.Struct("<QII")  # now, records, batch number
-REPLY_HEADER = struct.Struct("<III")  # length, records, batch number
+BATCH_HEADER = struct.Struct("<QII")  # now, number of records, batch number
+REPLY_HEADER = struct.Struct("<III")  # length, number of records, batch number
 
 # The fields of each record after its code. Data in the tail is given by two fields: offset and length.
 EVENT_LAYOUTS: dict[int, struct.Struct] = {
