--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -149,4 +149,4 @@
         endpoint.concurrency_limit = self.limits.initial_limit
         endpoint.slowdown_by_class = self.slowdowns.mean_slowdowns[:]
         endpoint.slow_start_credit = self._rng.random()
-        self.slow_start.deferred_requests = 0.0  # requests deferred before its start earn it no credit
+        self.slow_start.unsent_requests = 0.0  # requests not sent before its start earn it no credit
--- a/quota_ingress/policy/load_balancer.py
+++ b/quota_ingress/policy/load_balancer.py
@@ -49,10 +49,10 @@
         """
         endpoints = self._endpoints
         if endpoints.utilization() >= 1:
-            self._slow_start.defer(len(endpoints.preferred))
+            self._slow_start.record_unsent_request(len(endpoints.preferred))
             return None
         chosen = self._choose_among(endpoints.preferred, now, request_class, may_send)
-        self._slow_start.deferred_requests = 0.0
+        self._slow_start.unsent_requests = 0.0
         if chosen is None and len(endpoints.preferred) < len(endpoints.ready):
             chosen = self._choose_among(endpoints.ready, now, request_class, may_send)
         if chosen:
--- a/quota_ingress/policy/slow_start.py
+++ b/quota_ingress/policy/slow_start.py
@@ -12,14 +12,14 @@
 
 SLOW_START_BUDGET_FRACTION = 0.8  # of the overload multiple; work varies by request, list delays by gateway
 TOLERATED_SLOWDOWN = 2.0  # times the mean, as warming endpoints are slower; above it, they get fewer requests
-DEFERRED_REQUEST_WEIGHT = 0.5  # of a sent one; at twice the capacity, a weight of 1 would use up the budget
+UNSENT_REQUEST_WEIGHT = 0.5  # of a sent one; at twice the capacity, a weight of 1 would use up the budget
 
 
 class SlowStart:
     """Decides which requests of this gateway go to warming endpoints."""
 
     def __init__(self, safety: Safety, slowdowns: SlowdownTracker) -> None:
-        self.deferred_requests = 0.0  # weighted, per preferred endpoint; not sent during the overload
+        self.unsent_requests = 0.0  # in the current overload; weighted, per preferred endpoint
         self._initial_fraction = safety.initial_capacity_fraction
         self._warmup_time = max(1, safety.warmup_time)
         self._budget = SLOW_START_BUDGET_FRACTION * safety.overload_multiple
@@ -31,9 +31,9 @@
         warmed_up = (now - started_at) / self._warmup_time if started_at > 0 else 1.0
         return min(1.0, self._initial_fraction + (1 - self._initial_fraction) * max(0.0, warmed_up))
 
-    def defer(self, endpoint_count: int) -> None:
+    def record_unsent_request(self, endpoint_count: int) -> None:
         """Counts a request not sent in an overload, which raises the warming endpoints' next credits."""
-        self.deferred_requests += DEFERRED_REQUEST_WEIGHT / max(1, endpoint_count)
+        self.unsent_requests += UNSENT_REQUEST_WEIGHT / max(1, endpoint_count)
 
     def next_warming_endpoint(
         self, sample: list[Endpoint], warm: list[Endpoint], now: int, request_class: int
@@ -53,7 +53,7 @@
             if fraction >= 1:
                 continue
             share = self._share(endpoint, fraction, mean_weight, now, request_class)
-            credit = min(1.0, endpoint.slow_start_credit + share * self.deferred_requests)
+            credit = min(1.0, endpoint.slow_start_credit + share * self.unsent_requests)
             endpoint.slow_start_credit = credit + budget * share / len(sample)
             if endpoint.slow_start_credit >= (chosen.slow_start_credit if chosen else 1.0):
                 chosen = endpoint
