--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -12,7 +12,7 @@
 from quota_ingress.policy.settings import Plan
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-UNKNOWN_USE_BURST_FRACTION = 1 / 8  # of a burst; if the counter lacks fewer units, none are added to it
+MIN_UNKNOWN_BURST_FRACTION = 1 / 8  # of a burst; if the counter lacks fewer units, none are added to it
 
 
 class LeasedQuota(QuotaState):
@@ -85,7 +85,7 @@
         """
         in_demand = self.demand.rate * self.gateway_count > self.plan.rate
         unknown = difference if in_demand else 0.0
-        return unknown if unknown > self.plan.burst * UNKNOWN_USE_BURST_FRACTION else 0.0
+        return unknown if unknown > self.plan.burst * MIN_UNKNOWN_BURST_FRACTION else 0.0
 
     def _correction(self, call: CounterCall, units: float) -> CounterCall:
         return CounterCall(
