--- a/quota_ingress/policy/endpoint_set.py
+++ b/quota_ingress/policy/endpoint_set.py
@@ -121,7 +121,7 @@
             del self.listed_endpoints[endpoint_id]
 
     def _reconcile(self, endpoint_id: int) -> None:
-        """Updates an endpoint's membership of the candidate sets to the list and the subset."""
+        """Adds the endpoint to the candidate sets or removes it, according to the list and the subset."""
         entry = self.listed_endpoints.get(endpoint_id)
         hash_key = entry.hash_key or endpoint_id if entry else 0
         if entry is None or not self.subset.is_candidate(hash_key):
@@ -149,4 +149,4 @@
         endpoint.concurrency_limit = self.limits.initial_limit
         endpoint.slowdown_by_class = self.slowdowns.mean_slowdowns[:]
         endpoint.slow_start_credit = self._rng.random()
-        self.slow_start.deferred_requests = 0.0  # requests deferred before its start earn it no credit
+        self.slow_start.unsent_requests = 0.0  # requests not sent before its start earn it no credit
--- a/quota_ingress/policy/leased_quota.py
+++ b/quota_ingress/policy/leased_quota.py
@@ -12,7 +12,7 @@
 from quota_ingress.policy.settings import Plan
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-UNKNOWN_USE_BURST_FRACTION = 1 / 8  # of a burst: fewer units unknown to the counter are not reported to it
+MIN_UNKNOWN_BURST_FRACTION = 1 / 8  # of a burst; if the counter lacks fewer units, none are added to it
 
 
 class LeasedQuota(QuotaState):
@@ -43,7 +43,7 @@
         return CounterCall(
             self,
             counter_name(request.customer, window_number),
-            window_start=window_number * self.window,
+            period_start=window_number * self.window,
             amount=leased + unreported,
             ttl=self._counter_ttl(),
             leased_units=leased,
@@ -52,7 +52,7 @@
         )
 
     def on_call_ended(self, call: CounterCall, now: int, was_added: bool) -> None:
-        """Restores the units that a call was to report if the counter did not add them (`was_added`)."""
+        """Leaves a call's `unreported_units` to the next call if the counter did not add them."""
         if not was_added:
             self.unreported_units += call.unreported_units
 
@@ -60,7 +60,7 @@
         self, call: CounterCall, event: CounterAnswered, now: int, rng: random.Random
     ) -> list[CounterCall]:
         """Grants the leased units that the bucket covers; a correction returns the excess to the counter."""
-        refilled = self.plan.rate * (now - call.window_start) / SECOND
+        refilled = self.plan.rate * (now - call.period_start) / SECOND
         remaining_by_counter = self.plan.burst + refilled - event.total
         remaining_here = self.bucket.remaining(now) - call.leased_units
         remaining = min(remaining_by_counter, remaining_here)
@@ -85,13 +85,13 @@
         """
         in_demand = self.demand.rate * self.gateway_count > self.plan.rate
         unknown = difference if in_demand else 0.0
-        return unknown if unknown > self.plan.burst * UNKNOWN_USE_BURST_FRACTION else 0.0
+        return unknown if unknown > self.plan.burst * MIN_UNKNOWN_BURST_FRACTION else 0.0
 
     def _correction(self, call: CounterCall, units: float) -> CounterCall:
         return CounterCall(
             self,
             call.counter_name,
-            call.window_start,
+            call.period_start,
             amount=units,
             ttl=self._counter_ttl(),
             leased_units=units,
@@ -106,7 +106,7 @@
         self.unreported_units = min(self.plan.burst, self.unreported_units + units)
 
     def hand_over(self, customer: int, plan: int) -> CustomerQuotaSnapshot:
-        """Returns the state of `customer`, whose plan is number `plan`; clears leases and allowances here."""
+        """Returns the state of `customer`, whose plan has index `plan`; clears leases and allowances here."""
         snapshot = replace(super().hand_over(customer, plan), unreported_units=self.unreported_units)
         self.unreported_units = 0.0
         return snapshot
--- a/quota_ingress/policy/load_balancer.py
+++ b/quota_ingress/policy/load_balancer.py
@@ -23,9 +23,9 @@
 LOAD_FIELDS = ("queue", "inflight", "util")  # fields of a load report that grow with an endpoint's load
 MAX_REPORTED_LOAD = 1e6
 MIN_WEIGHT = 1e-3  # lower weights of endpoints count as this
-OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, where cross-zone traffic has a price
-BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit in use, from which on good answers raise the limit
-BUSY_UTILIZATION = 0.5  # of the pooled limit in use, above which good answers raise `fleet_headroom`
+OTHER_ZONE_COST = 1.1  # cost factor for endpoints in another zone, if cross-zone traffic has a price
+BUSY_LIMIT_FRACTION = 0.7  # of an endpoint's limit; if this is in use, fast answers raise the limit
+BUSY_UTILIZATION = 0.5  # of the pooled limit; if more is in use, fast answers raise `pooled_headroom`
 
 
 class LoadBalancer:
@@ -49,10 +49,10 @@
         """
         endpoints = self._endpoints
         if endpoints.utilization() >= 1:
-            self._slow_start.defer(len(endpoints.preferred))
+            self._slow_start.record_unsent_request(len(endpoints.preferred))
             return None
         chosen = self._choose_among(endpoints.preferred, now, request_class, may_send)
-        self._slow_start.deferred_requests = 0.0
+        self._slow_start.unsent_requests = 0.0
         if chosen is None and len(endpoints.preferred) < len(endpoints.ready):
             chosen = self._choose_among(endpoints.ready, now, request_class, may_send)
         if chosen:
