--- a/ingress_testbed/hosts.py
+++ b/ingress_testbed/hosts.py
@@ -56,7 +56,7 @@
         self._discovery.abort_watches()
 
     def counts(self) -> dict[str, int]:
-        """Returns the totals since the start; `unsent` is the bytes buffered for watches now."""
+        """Returns totals since the start, and the current `watches`, `version` and `unsent` bytes to watches."""
         discovery = self._discovery
         return {
             "watches": len(discovery.watches),
@@ -80,14 +80,14 @@
 
         Args:
             partitions: Number of partitions, which serve calls independently.
-            capacity: Calls answered per second; 0 for no limit.
+            capacity: Calls answered per second by each partition; 0 for no limit.
         """
         self._counter = CounterServer(partitions, capacity)
         await self._counter.start()
         return self._counter.port
 
     def counts(self) -> dict[str, int]:
-        """Returns the totals since the start; `connections` and `names` are the numbers now."""
+        """Returns totals since the start, and the current numbers of `connections` and `names`."""
         counter = self._counter
         return {
             "connections": len(counter.connections),
@@ -111,7 +111,7 @@
         return self._backends.port
 
     def counts(self) -> dict[str, int]:
-        """Returns the totals since the start; `open` is the number of connections now."""
+        """Returns totals since the start, the current `open` connections, and the most at one backend."""
         backends = self._backends
         return {
             "served": backends.served,
--- a/ingress_testbed/quota_day.py
+++ b/ingress_testbed/quota_day.py
@@ -181,8 +181,8 @@
         seed: Seed of all random draws.
         counts: Number of requests and counter calls, by kind. `tries` are requests that reached a gateway,
             `asks` counter calls that add units and `given back` those that return units.
-        priced_totals: Prices of the first requests that an exact bucket admits (`offered`) and of those
-            that the fleet sent inside the quotas (`inside`); cost of those sent beyond them (`over`).
+        priced_totals: Prices of the first requests that an exact bucket admits (`offered`), prices of the
+            requests that the fleet sent inside the quotas (`inside`), and costs of those sent beyond (`over`).
     """
 
     fleet_size: int = 200
@@ -297,10 +297,10 @@
         heapq.heappush(self._events, (max(self._now + 1, int(at)), next(self._order), callback))
 
     def _schedule_next_request(self, customer: Customer, at: float) -> None:
-        """Schedules a customer's next first request after `at` (s), drawn by thinning.
+        """Schedules a customer's next request that is not a retry, after `at` (s), drawn by thinning.
 
-        Candidates are drawn at the highest rate; each is kept with a probability of the rate at its time over
-        the highest rate.
+        Candidates are drawn at the highest rate; each is kept with probability (rate at its time) / (highest
+        rate).
         """
         highest = customer.highest_rate()
         while (at := at + self._rng.expovariate(highest)) < self.seconds:
