--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -97,7 +97,7 @@
 
 def answer_attempts(gateway: Gateway, now: int, actions: list[Action]) -> int:
     """Answers every attempt that was sent at once; returns how many there were."""
-    sent = of(actions, SendAttempt)
+    sent = of_type(actions, SendAttempt)
     for attempt in sent:
         gateway.handle(now, AttemptEnded(attempt.request, 0, attempt.endpoint, Outcome.OK, 50_000, True))
     return len(sent)
@@ -106,7 +106,7 @@
 def sent_to(gateway: Gateway, now: int, requests: range, **changes: Any) -> list[int]:
     """Returns the endpoints that these requests are sent to, all at one moment."""
     attempts = [
-        sent for n in requests for sent in of(gateway.handle(now, arrival(n, **changes)), SendAttempt)
+        sent for n in requests for sent in of_type(gateway.handle(now, arrival(n, **changes)), SendAttempt)
     ]
     return [sent.endpoint for sent in attempts]
 
@@ -115,13 +115,13 @@
     """Returns the endpoints that 200 requests, one after another, go to."""
     used = set()
     for number in range(first_request, first_request + 200):
-        for sent in of(gateway.handle(now, arrival(number)), SendAttempt):
+        for sent in of_type(gateway.handle(now, arrival(number)), SendAttempt):
             used.add(sent.endpoint)
             gateway.handle(now, AttemptEnded(number, 0, sent.endpoint, Outcome.OK, 50_000, True))
     return used
 
 
-def of(actions: list[Action], kind: type | UnionType) -> list[Any]:
+def of_type(actions: list[Action], kind: type | UnionType) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
@@ -133,7 +133,7 @@
 
     def answers(self, actions: list[Action]) -> list[CounterAnswered]:
         found = []
-        for add in of(actions, AddToCounter):
+        for add in of_type(actions, AddToCounter):
             self.totals[add.name] = self.totals.get(add.name, 0.0) + add.amount
             found.append(CounterAnswered(add.name, Outcome.OK, self.totals[add.name], 1000))
         return found
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -16,7 +16,7 @@
     endpoint_entry,
     gateway_with_endpoints,
     listed,
-    of,
+    of_type,
     settings,
     settle,
 )
@@ -36,7 +36,7 @@
         quota.book_retry(0, 1.0)
         for slot in quota.ring.slots:
             slot.capacity = capacity
-        answers.append(of(settle(gateway, 0, arrival(2), counter), Reject)[0].retry_after)
+        answers.append(of_type(settle(gateway, 0, arrival(2), counter), Reject)[0].retry_after)
     assert answers == [0, 500_000]
 
 
@@ -50,17 +50,17 @@
 
 def test_over_quota_requests_are_sent_if_the_plan_pays_and_endpoints_have_spare_capacity() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
-    sent = sum(len(of(settle(gateway, 0, arrival(n, plan=1), counter), SendAttempt)) for n in range(40))
+    sent = sum(len(of_type(settle(gateway, 0, arrival(n, plan=1), counter), SendAttempt)) for n in range(40))
     assert 4 < sent <= 20  # beyond the burst of 4, but only up to 0.6 of the endpoints' capacity of 4 * 8
 
 
 def test_attempts_in_flight_are_limited_by_the_plan() -> None:
     gateway = gateway_with_endpoints()
     decisions = [gateway.handle(0, arrival(n, plan=2)) for n in range(3)]
-    assert [len(of(a, SendAttempt)) for a in decisions] == [1, 1, 0] and of(decisions[2], Reject)
-    send = of(decisions[0], SendAttempt)[0]
+    assert [len(of_type(a, SendAttempt)) for a in decisions] == [1, 1, 0] and of_type(decisions[2], Reject)
+    send = of_type(decisions[0], SendAttempt)[0]
     gateway.handle(9000, AttemptEnded(0, 0, send.endpoint, Outcome.OK, 9000, True))
-    assert of(gateway.handle(9000, arrival(4, plan=2)), SendAttempt)
+    assert of_type(gateway.handle(9000, arrival(4, plan=2)), SendAttempt)
 
 
 def test_two_gateways_do_not_exceed_the_hard_ceiling_when_they_restart() -> None:
@@ -71,7 +71,7 @@
         for ms in range(0, 4000, 20):
             now = run * 4 * SECOND + ms * 1000
             actions = settle(gateways[ms // 20 % 2], now, arrival(now, plan=3), counter)
-            sent += [now] * len(of(actions, SendAttempt))
+            sent += [now] * len(of_type(actions, SendAttempt))
     remaining = 8.0
     last_sent_at = 0
     for now in sent:
@@ -91,5 +91,5 @@
     sent = 0
     for n in range(60):
         event = arrival(n, first_gateway=first_index, gateway_count=claimed_count)
-        sent += len(of(settle(gateway, 0, event, counter), SendAttempt))
+        sent += len(of_type(settle(gateway, 0, event, counter), SendAttempt))
     assert sent <= PLANS[0].burst
--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -18,7 +18,7 @@
     endpoint_entry,
     gateway_with_endpoints,
     listed,
-    of,
+    of_type,
     settings,
     settle,
 )
@@ -28,13 +28,13 @@
     gateway = gateway_with_endpoints()
     adds = []
     for n in range(40):
-        adds += of(gateway.handle(0, arrival(n, customer=n)), AddToCounter)
+        adds += of_type(gateway.handle(0, arrival(n, customer=n)), AddToCounter)
     for add in adds:
         gateway.handle(0, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 30_000))
     later_calls = 0
     for n in range(1000):  # 1,000 customers in one second
         later_calls += len(
-            of(gateway.handle(SECOND + n * 1000, arrival(100 + n, customer=100 + n)), AddToCounter)
+            of_type(gateway.handle(SECOND + n * 1000, arrival(100 + n, customer=100 + n)), AddToCounter)
         )
     assert len(adds) == 40 and 20 < later_calls < 80
 
@@ -43,12 +43,12 @@
     def calls(rejected: int) -> int:
         gateway, counter = gateway_with_endpoints(), Counter()
         for n in range(rejected):
-            for add in of(gateway.handle(0, arrival(n, customer=n + 100)), AddToCounter):
+            for add in of_type(gateway.handle(0, arrival(n, customer=n + 100)), AddToCounter):
                 gateway.handle(0, CounterAnswered(add.name, Outcome.REJECTED, 0.0, 1000))
         call_count = 0
         for n in range(200):
             new_arrival = arrival(1000 + n, customer=n)
-            call_count += len(of(settle(gateway, SECOND + n * 1000, new_arrival, counter), AddToCounter))
+            call_count += len(of_type(settle(gateway, SECOND + n * 1000, new_arrival, counter), AddToCounter))
         return call_count
 
     assert calls(8) < 0.8 * calls(0)
@@ -59,16 +59,16 @@
     sent = 0
     for n in range(20):
         actions = gateway.handle(n * SECOND, arrival(n, customer=n))
-        (add,) = of(actions, AddToCounter)  # the counter is still called for every new customer
+        (add,) = of_type(actions, AddToCounter)  # the counter is still called for every new customer
         actions = gateway.handle(n * SECOND, CounterAnswered(add.name, Outcome.RESET, 0.0, 100))
-        sent += len(of(actions, SendAttempt))
+        sent += len(of_type(actions, SendAttempt))
     assert gateway.admission.call_pacing.congestion == 1
     assert sent == 20  # all admitted by the local allowance
 
 
 def test_a_late_answer_raises_the_congestion() -> None:
     gateway = gateway_with_endpoints()
-    (add,) = of(gateway.handle(0, arrival(1)), AddToCounter)
+    (add,) = of_type(gateway.handle(0, arrival(1)), AddToCounter)
     gateway.handle(60_000, CounterAnswered(add.name, Outcome.OK, add.amount, 60_000))  # the timeout is 30 ms
     assert gateway.admission.call_pacing.congestion > 1
 
@@ -85,7 +85,7 @@
     calls = []
     for n in range(800):  # 100 customers a second
         now = SECOND + n * 10_000
-        for add in of(gateway.handle(now, arrival(n, customer=n)), AddToCounter):
+        for add in of_type(gateway.handle(now, arrival(n, customer=n)), AddToCounter):
             calls.append(now)
             gateway.handle(now + latency, CounterAnswered(add.name, Outcome.OK, 1.0, latency))
     calls_in_last_second = sum(at > 8 * SECOND for at in calls)
@@ -97,7 +97,9 @@
     calls = [0, 0]
     for n in range(1000):
         for index, gateway in enumerate((of_small_fleet, of_large_fleet)):
-            calls[index] += len(of(gateway.handle(SECOND + n * 1000, arrival(n, customer=n)), AddToCounter))
+            calls[index] += len(
+                of_type(gateway.handle(SECOND + n * 1000, arrival(n, customer=n)), AddToCounter)
+            )
     assert calls[1] < 30 < calls[0]  # all gateways together make 64 calls per timeout of 30 ms
 
 
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 from quota_ingress.policy.endpoint_list import ListedEndpoint
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, sent_to, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of_type, sent_to, settings
 
 
 def make_gateway(*entries: ListedEndpoint, **changes: object) -> Gateway:
@@ -58,7 +58,7 @@
 def test_many_gateways_do_not_overload_failing_endpoints_with_one_attempt_each() -> None:
     gateway = make_gateway(*(endpoint_entry(n) for n in range(1, 9)), fleet_size=16)
     for n in range(60):
-        for sent in of(gateway.handle(n, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(n, arrival(n)), SendAttempt):
             gateway.handle(n, AttemptEnded(n, 0, sent.endpoint, Outcome.TIMEOUT, 900_000, True))
     assert 1 <= len(sent_to(gateway, 100, range(100, 200))) <= 4  # of eight endpoints, at sixteen gateways
 
@@ -72,7 +72,7 @@
         *(endpoint_entry(n) for n in range(1, 21)), fleet_size=50, limits={"max_attempts": 1}
     )
     for n in range(300):
-        for sent in of(gateway.handle(n * 200_000, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(n * 200_000, arrival(n)), SendAttempt):
             has_timed_out = n % 20 < timed_out_of_20
             outcome = Outcome.TIMEOUT if has_timed_out else Outcome.OK
             latency = 900_000 if has_timed_out else 250_000
--- a/tests/test_counted_quota.py
+++ b/tests/test_counted_quota.py
@@ -13,7 +13,7 @@
 from quota_ingress.policy.events import CounterAnswered, Outcome, TimerFired
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import CounterLimits
-from tests.helpers import SECOND, Counter, answer_attempts, arrival, gateway_with_endpoints, of, settle
+from tests.helpers import SECOND, Counter, answer_attempts, arrival, gateway_with_endpoints, of_type, settle
 
 FLEET_SIZE = 30
 BURST, RATE = 4.0, 2.0  # of plan 0
@@ -104,8 +104,8 @@
     gateway, counter = gateway_of_large_fleet(), Counter()
     set_pacing(gateway, next_call_at=SECOND + 50_000, congestion=8.0)
     actions = gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE))
-    (timer,) = of(actions, SetTimer)
-    assert not of(actions, AddToCounter | Reject | SendAttempt)
+    (timer,) = of_type(actions, SetTimer)
+    assert not of_type(actions, AddToCounter | Reject | SendAttempt)
     actions_when_due = settle(gateway, timer.at, TimerFired(timer.token), counter)
     assert answer_attempts(gateway, timer.at, actions_when_due) == 1
     assert len(counter.totals) == 1
@@ -114,37 +114,37 @@
 def test_a_request_deferred_too_long_is_decided_without_the_counter() -> None:
     gateway = gateway_of_large_fleet()
     set_pacing(gateway, next_call_at=60 * SECOND, congestion=8.0)
-    assert not of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), SendAttempt)
-    assert of(gateway.handle(SECOND + MAX_DEFER, TimerFired(1)), SendAttempt)
+    assert not of_type(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), SendAttempt)
+    assert of_type(gateway.handle(SECOND + MAX_DEFER, TimerFired(1)), SendAttempt)
 
 
 def test_calls_to_a_congested_counter_are_reserved_for_customers_without_recent_rejections() -> None:
     gateway = gateway_of_large_fleet()
-    (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
+    (call,) = of_type(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
     gateway.handle(SECOND, CounterAnswered(call.name, Outcome.OK, EXHAUSTED, 1000))
     now = 30 * SECOND  # 15 windows later the count has decayed, but the customer's success rate is still low
     set_pacing(
         gateway, next_call_at=now - SECOND // 8, congestion=4.0
     )  # half of the burst of calls is unused
-    assert not of(gateway.handle(now, arrival(2, gateway_count=FLEET_SIZE)), AddToCounter)
-    assert of(gateway.handle(now, arrival(3, customer=8, gateway_count=FLEET_SIZE)), AddToCounter)
+    assert not of_type(gateway.handle(now, arrival(2, gateway_count=FLEET_SIZE)), AddToCounter)
+    assert of_type(gateway.handle(now, arrival(3, customer=8, gateway_count=FLEET_SIZE)), AddToCounter)
 
 
 def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
     gateway = gateway_of_large_fleet()
-    (call,) = of(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
+    (call,) = of_type(gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE)), AddToCounter)
     gateway.handle(SECOND, CounterAnswered(call.name, Outcome.TIMEOUT, 0.0, 30_000))  # admitted locally
     assert gateway.attempts_in_flight
     set_pacing(gateway, next_call_at=0)
-    (call,) = of(gateway.handle(SECOND, arrival(2, gateway_count=FLEET_SIZE)), AddToCounter)
+    (call,) = of_type(gateway.handle(SECOND, arrival(2, gateway_count=FLEET_SIZE)), AddToCounter)
     added = call.amount / math.exp(SECOND % (8 * WINDOW) / WINDOW)
     assert added == pytest.approx(2.0)
 
 
 def test_without_a_counter_a_customers_first_request_is_sent_and_the_next_is_not() -> None:
     gateway = gateway_of_large_fleet(fleet_size=100, counter=CounterLimits(False))
-    assert of(gateway.handle(0, arrival(1, gateway_count=100)), SendAttempt)
-    assert of(gateway.handle(1000, arrival(2, gateway_count=100)), Reject)
+    assert of_type(gateway.handle(0, arrival(1, gateway_count=100)), SendAttempt)
+    assert of_type(gateway.handle(1000, arrival(2, gateway_count=100)), Reject)
 
 
 def test_without_a_counter_a_retry_is_not_admitted_as_a_first_request() -> None:
@@ -168,10 +168,10 @@
     now += SECOND
     for n in range(1000, 1200):
         set_pacing(gateway, next_call_at=0, congestion=1.0)
-        (call,) = of(gateway.handle(now, arrival(n, customer=n, gateway_count=FLEET_SIZE)), AddToCounter)
+        (call,) = of_type(gateway.handle(now, arrival(n, customer=n, gateway_count=FLEET_SIZE)), AddToCounter)
         actions = gateway.handle(now, CounterAnswered(call.name, Outcome.OK, EXHAUSTED, 1000))
-        assert of(actions, Reject)
-        calls += len(of(actions, AddToCounter))
+        assert of_type(actions, Reject)
+        calls += len(of_type(actions, AddToCounter))
     return calls
 
 
@@ -185,7 +185,9 @@
     gateway = gateway_of_large_fleet()
     for n in range(30):  # the first leases of 30 customers of the plan are rejected
         set_pacing(gateway, next_call_at=0)
-        (call,) = of(gateway.handle(SECOND, arrival(n, customer=n, gateway_count=FLEET_SIZE)), AddToCounter)
+        (call,) = of_type(
+            gateway.handle(SECOND, arrival(n, customer=n, gateway_count=FLEET_SIZE)), AddToCounter
+        )
         gateway.handle(SECOND, CounterAnswered(call.name, Outcome.OK, EXHAUSTED, 1000))
     sent = 0
     for n in range(100, 200):
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -14,7 +14,7 @@
     endpoint_entry,
     endpoints_used,
     listed,
-    of,
+    of_type,
     sent_to,
     settings,
 )
@@ -43,7 +43,7 @@
 
 def test_attempts_that_end_after_their_endpoint_restarted_are_counted_down() -> None:
     gateway = make_gateway(1)
-    (sent,) = of(gateway.handle(0, arrival(1)), SendAttempt)
+    (sent,) = of_type(gateway.handle(0, arrival(1)), SendAttempt)
     gateway.handle(10, listed(endpoint_entry(1, started_at=10), kind=ListKind.DELTA))
     gateway.handle(20, AttemptEnded(1, 0, sent.endpoint, Outcome.RESET, 20, True))
     assert gateway.endpoints.in_flight == 0 and gateway.endpoints.candidates[1].in_flight == 0
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -47,7 +47,7 @@
     endpoint_entry,
     gateway_with_endpoints,
     listed,
-    of,
+    of_type,
     settings,
 )
 
@@ -293,8 +293,8 @@
 
 def test_subscribes_to_the_endpoint_list_if_the_settings_require_it() -> None:
     gateway = Gateway(settings(must_subscribe=True), 1)
-    assert of(gateway.handle(0, listed(endpoint_entry(1), kind=ListKind.CACHED)), SubscribeToEndpoints)
-    assert of(gateway.handle(9, EndpointsListed(ListKind.FAILED, 0, ())), SubscribeToEndpoints)
+    assert of_type(gateway.handle(0, listed(endpoint_entry(1), kind=ListKind.CACHED)), SubscribeToEndpoints)
+    assert of_type(gateway.handle(9, EndpointsListed(ListKind.FAILED, 0, ())), SubscribeToEndpoints)
 
 
 def test_idle_customers_are_discarded_once_their_bucket_must_be_full() -> None:
@@ -312,9 +312,9 @@
     ended: list[Event] = []
     for n in range(50):
         actions = gateway.handle(SECOND, arrival(n))
-        attempts = of(actions, SendAttempt)
+        attempts = of_type(actions, SendAttempt)
         ended += [AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 1000, True) for sent in attempts]
-        for rejection in of(actions, Reject):
+        for rejection in of_type(actions, Reject):
             rejections[rejection.request] = rejections.get(rejection.request, 0) + 1
     stray_events: list[Event] = [
         ClientDisconnected(777),
--- a/tests/test_leased_quota.py
+++ b/tests/test_leased_quota.py
@@ -8,31 +8,31 @@
 from quota_ingress.policy.events import CounterAnswered, Outcome
 from quota_ingress.policy.lease import counter_name
 from quota_ingress.policy.leased_quota import LeasedQuota
-from tests.helpers import PLANS, SECOND, Counter, arrival, gateway_with_endpoints, of, settle
+from tests.helpers import PLANS, SECOND, Counter, arrival, gateway_with_endpoints, of_type, settle
 
 
 def test_first_request_leases_several_units_and_is_sent() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     actions = gateway.handle(0, arrival(1))
-    (add,) = of(actions, AddToCounter)
-    assert not of(actions, SendAttempt) and add.amount > 1
+    (add,) = of_type(actions, AddToCounter)
+    assert not of_type(actions, SendAttempt) and add.amount > 1
     assert add.name == counter_name(7, 0)
-    assert len(of(gateway.handle(1000, counter.answers(actions)[0]), SendAttempt)) == 1
+    assert len(of_type(gateway.handle(1000, counter.answers(actions)[0]), SendAttempt)) == 1
 
 
 def test_leased_units_admit_without_another_call() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     settle(gateway, 0, arrival(1, units=0.5), counter)
     again = gateway.handle(1000, arrival(2, units=0.5))
-    assert of(again, SendAttempt) and not of(again, AddToCounter)
+    assert of_type(again, SendAttempt) and not of_type(again, AddToCounter)
 
 
 def test_units_leased_beyond_the_quota_are_subtracted_from_the_counter() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
     counter.totals[counter_name(7, 0)] = 3.5  # another gateway took most of the burst of 4
     actions = settle(gateway, 0, arrival(1), counter)
-    corrections = [a.amount for a in of(actions, AddToCounter) if a.amount < 0]
-    assert len(corrections) == 1 and of(actions, Reject) and not of(actions, SendAttempt)
+    corrections = [a.amount for a in of_type(actions, AddToCounter) if a.amount < 0]
+    assert len(corrections) == 1 and of_type(actions, Reject) and not of_type(actions, SendAttempt)
     assert counter.totals[counter_name(7, 0)] == pytest.approx(4.0)
 
 
@@ -40,7 +40,9 @@
     first_gateway, second_gateway, counter = gateway_with_endpoints(), gateway_with_endpoints(), Counter()
     sent = 0
     for n in range(20):
-        sent += len(of(settle((first_gateway, second_gateway)[n % 2], 0, arrival(n), counter), SendAttempt))
+        sent += len(
+            of_type(settle((first_gateway, second_gateway)[n % 2], 0, arrival(n), counter), SendAttempt)
+        )
     assert 3 <= sent <= 4  # the burst is 4; a fraction of a request may remain unused in a lease
 
 
@@ -49,7 +51,7 @@
     for n in range(8):
         settle(gateway, 0, arrival(n), counter)
     last_actions = gateway.handle(0, arrival(9))
-    assert of(last_actions, Reject) and not of(last_actions, AddToCounter)
+    assert of_type(last_actions, Reject) and not of_type(last_actions, AddToCounter)
 
 
 def test_without_answers_each_gateway_admits_the_quota_divided_by_the_gateway_count() -> None:
@@ -57,17 +59,19 @@
     sent = 0
     for n in range(40):
         actions = gateway.handle(0, arrival(n))
-        for add in of(actions, AddToCounter):
+        for add in of_type(actions, AddToCounter):
             actions += gateway.handle(0, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 30_000))
-        sent += len(of(actions, SendAttempt))
+        sent += len(of_type(actions, SendAttempt))
     assert sent == 2  # a burst of 4 divided by two gateways
 
 
 def test_a_counter_that_lost_its_totals_admits_no_second_burst() -> None:
     gateway, counter = gateway_with_endpoints(), Counter()
-    sent = sum(len(of(settle(gateway, 0, arrival(n), counter), SendAttempt)) for n in range(8))
+    sent = sum(len(of_type(settle(gateway, 0, arrival(n), counter), SendAttempt)) for n in range(8))
     counter.totals.clear()
-    sent += sum(len(of(settle(gateway, 500_000, arrival(n), counter), SendAttempt)) for n in range(8, 16))
+    sent += sum(
+        len(of_type(settle(gateway, 500_000, arrival(n), counter), SendAttempt)) for n in range(8, 16)
+    )
     assert sent <= 5  # the burst of 4, and half a second at 2 a second
     assert sum(counter.totals.values()) > 2  # the gateway has reported the lost units again
 
@@ -77,8 +81,10 @@
     gateway = gateway_with_endpoints()
     sent = 0
     for n in range(30):
-        for add in of(gateway.handle(0, arrival(n)), AddToCounter):
-            sent += len(of(gateway.handle(0, CounterAnswered(add.name, Outcome.OK, total, 9)), SendAttempt))
+        for add in of_type(gateway.handle(0, arrival(n)), AddToCounter):
+            sent += len(
+                of_type(gateway.handle(0, CounterAnswered(add.name, Outcome.OK, total, 9)), SendAttempt)
+            )
     assert sent <= 4
 
 
@@ -95,19 +101,19 @@
     settle(gateway, 0, arrival(1, units=2.0), counter)  # this gateway's share of the burst of 4
     gateway.admission.customers[7].bucket.leased_units = 0.0
     actions = gateway.handle(1, arrival(2))
-    for add in of(actions, AddToCounter):
+    for add in of_type(actions, AddToCounter):
         actions += gateway.handle(1, CounterAnswered(add.name, Outcome.TIMEOUT, 0.0, 90_000))
-    assert of(actions, Reject) and not of(actions, SendAttempt)
+    assert of_type(actions, Reject) and not of_type(actions, SendAttempt)
 
 
 def test_units_spent_without_the_counter_are_reported_with_the_next_call() -> None:
     gateway = gateway_with_endpoints()
     for second, outcome in enumerate((Outcome.TIMEOUT, Outcome.REJECTED)):  # a rejected call adds nothing
-        (add,) = of(gateway.handle(second * SECOND, arrival(second)), AddToCounter)
+        (add,) = of_type(gateway.handle(second * SECOND, arrival(second)), AddToCounter)
         spent = gateway.handle(second * SECOND, CounterAnswered(add.name, outcome, 0.0, 90_000))
-        assert of(spent, SendAttempt)
+        assert of_type(spent, SendAttempt)
     quota = gateway.admission.customers[7]
     assert isinstance(quota, LeasedQuota)
     assert quota.unreported_units == 2.0
-    (add,) = of(gateway.handle(3 * SECOND, arrival(9)), AddToCounter)
+    (add,) = of_type(gateway.handle(3 * SECOND, arrival(9)), AddToCounter)
     assert quota.unreported_units == 0.0 and add.amount >= 3.0
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -16,7 +16,7 @@
     arrival,
     endpoint_entry,
     listed,
-    of,
+    of_type,
     sent_to,
     settings,
 )
@@ -37,17 +37,17 @@
 
 def test_without_endpoints_a_request_is_rejected_immediately() -> None:
     gateway = make_gateway()
-    assert of(gateway.handle(0, arrival(1)), Reject)
+    assert of_type(gateway.handle(0, arrival(1)), Reject)
 
 
 def test_an_unreachable_endpoint_is_avoided_and_tried_again_later() -> None:
     gateway = make_gateway(endpoint_entry(1), endpoint_entry(2))
     for n in range(30):
-        for sent in of(gateway.handle(0, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(0, arrival(n)), SendAttempt):
             is_up = sent.endpoint == 2
             outcome = Outcome.OK if is_up else Outcome.CONNECT_FAILED
             ended = AttemptEnded(n, 0, sent.endpoint, outcome, 500, is_up)
-            for retry in of(gateway.handle(0, ended), SendAttempt):
+            for retry in of_type(gateway.handle(0, ended), SendAttempt):
                 assert retry.endpoint == 2
                 gateway.handle(0, AttemptEnded(n, 1, 2, Outcome.OK, 500, True))
     assert 1 not in sent_to(gateway, 0, range(100, 103))
@@ -60,14 +60,14 @@
     `report_age` us earlier, the first endpoint reported `load` and the second a load of 1.
     """
     gateway = make_gateway(endpoint_entry(1), endpoint_entry(2), load_fields=("queue",))
-    attempts = [sent for n in range(8) for sent in of(gateway.handle(0, arrival(n)), SendAttempt)]
+    attempts = [sent for n in range(8) for sent in of_type(gateway.handle(0, arrival(n)), SendAttempt)]
     assert {sent.endpoint for sent in attempts} == {1, 2}
     for sent in attempts:
         report = (load,) if sent.endpoint == 1 else (1.0,)
         gateway.handle(0, AttemptEnded(sent.request, 0, sent.endpoint, Outcome.OK, 1000, True, report))
     chosen = []
     for n in range(100, 140):
-        for sent in of(gateway.handle(report_age, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(report_age, arrival(n)), SendAttempt):
             chosen.append(sent.endpoint)
             gateway.handle(report_age, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 1000, True))
     return chosen.count(1) / len(chosen)
@@ -85,7 +85,7 @@
         gateway = Gateway(settings(fleet_size=300, gateway_index=index, plans=UNLIMITED_PLANS), 3)
         gateway.handle(0, listed(*(endpoint_entry(n, weight=2.0 + n % 2) for n in range(1, 61))))
         for n in range(500):
-            for sent in of(gateway.handle(n * 500_000, arrival(n)), SendAttempt):
+            for sent in of_type(gateway.handle(n * 500_000, arrival(n)), SendAttempt):
                 chosen.append(sent.endpoint % 2)
                 gateway.handle(n * 500_000, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
     assert 0.52 < sum(chosen) / len(chosen) < 0.68  # by weight, 3/5
@@ -97,7 +97,7 @@
     chosen: list[list[int]] = [[], []]
     for n in range(400):
         request_class = n % 2
-        for sent in of(gateway.handle(n * 20_000, arrival(n, request_class=request_class)), SendAttempt):
+        for sent in of_type(gateway.handle(n * 20_000, arrival(n, request_class=request_class)), SendAttempt):
             fails = request_class == 0 and sent.endpoint in (1, 2)
             outcome = Outcome.ERROR if fails else Outcome.OK
             gateway.handle(n * 20_000, AttemptEnded(n, 0, sent.endpoint, outcome, 50_000, True))
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -15,7 +15,7 @@
 from quota_ingress.policy.request_state import Attempt, Request
 from quota_ingress.policy.retry_policy import RetryPolicy
 from quota_ingress.policy.settings import DeduplicationScope, Idempotency
-from tests.helpers import CLASSES, SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
+from tests.helpers import CLASSES, SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of_type, settings
 
 
 def make_gateway(endpoint_count: int, **changes: object) -> Gateway:
@@ -31,23 +31,23 @@
     """
     gateway = make_gateway(2)
     for n in range(5):
-        for sent in of(gateway.handle(n * SECOND, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(n * SECOND, arrival(n)), SendAttempt):
             gateway.handle(n * SECOND, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
-    (sent,) = of(gateway.handle(9 * SECOND, arrival(9, time_left=300_000)), SendAttempt)
+    (sent,) = of_type(gateway.handle(9 * SECOND, arrival(9, time_left=300_000)), SendAttempt)
     ended = AttemptEnded(9, 0, sent.endpoint, Outcome.ERROR, latency, False)
     return gateway.handle(9 * SECOND + latency, ended)
 
 
 def test_no_retry_is_sent_without_enough_time_for_an_answer() -> None:
-    assert of(actions_after_failure(150_000), SendAttempt)  # the baseline latency is 100 ms
+    assert of_type(actions_after_failure(150_000), SendAttempt)  # the baseline latency is 100 ms
     actions_near_deadline = actions_after_failure(299_000)
-    assert not of(actions_near_deadline, SendAttempt) and of(actions_near_deadline, Reject)
+    assert not of_type(actions_near_deadline, SendAttempt) and of_type(actions_near_deadline, Reject)
 
 
 def test_an_attempt_times_out_no_earlier_than_at_half_of_the_objective() -> None:
     gateway = make_gateway(1, limits={"may_hedge": False})
     for n in range(4):
-        (sent,) = of(gateway.handle(n, arrival(n)), SendAttempt)
+        (sent,) = of_type(gateway.handle(n, arrival(n)), SendAttempt)
         assert sent.timeout >= SECOND // 2  # a timeout at a third cut off many answers
         gateway.handle(n, AttemptEnded(n, 0, 1, Outcome.OK, 20_000, True))
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -10,7 +10,7 @@
 from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of_type, settings
 from tests.support.fleet_simulation import SAFETY, FleetSimulation
 
 FLEET_SIZES = [1, 3, 8, 12, 16, 20, 30, 60, 200]
@@ -77,12 +77,12 @@
         gateway.endpoints.candidates[9].in_flight = 1  # the endpoint is at its limit, the others are not
         for n in range(200):
             now = 2 * SECOND + n
-            for sent in of(gateway.handle(now, arrival(n)), SendAttempt):
+            for sent in of_type(gateway.handle(now, arrival(n)), SendAttempt):
                 gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 9000, True))
         gateway.endpoints.candidates[9].in_flight = 0
         for n in range(200, 205):
             sent_to_warming += sum(
-                sent.endpoint == 9 for sent in of(gateway.handle(3 * SECOND, arrival(n)), SendAttempt)
+                sent.endpoint == 9 for sent in of_type(gateway.handle(3 * SECOND, arrival(n)), SendAttempt)
             )
     assert sent_to_warming < 15  # the endpoint's share of the 150 requests is 8
 
@@ -92,12 +92,12 @@
     for seed in range(30):
         gateway = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
         gateway.handle(0, listed(*(endpoint_entry(n) for n in range(4))))
-        attempts = [sent for n in range(200) for sent in of(gateway.handle(n, arrival(n)), SendAttempt)]
+        attempts = [sent for n in range(200) for sent in of_type(gateway.handle(n, arrival(n)), SendAttempt)]
         gateway.handle(SECOND, listed(endpoint_entry(9, started_at=SECOND), kind=ListKind.DELTA))
         for sent in attempts:
             gateway.handle(SECOND, AttemptEnded(sent.request, 0, sent.endpoint, Outcome.OK, 9000, True))
         sent_to_warming += sum(
-            sent.endpoint == 9 for sent in of(gateway.handle(SECOND, arrival(300)), SendAttempt)
+            sent.endpoint == 9 for sent in of_type(gateway.handle(SECOND, arrival(300)), SendAttempt)
         )
     assert sent_to_warming < 6  # the endpoint's share of the 30 requests is 1 or 2
 
@@ -110,7 +110,7 @@
         now += 5000  # 200 requests a second for four warm endpoints: 50 for each
         if n == 2000:
             gateway.handle(now, listed(endpoint_entry(9, started_at=now), kind=ListKind.DELTA))
-        for sent in of(gateway.handle(now, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(now, arrival(n)), SendAttempt):
             sent_at += [now] * (sent.endpoint == 9)
             gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
     started_at = 2001 * 5000
@@ -131,7 +131,7 @@
     for step in range(10):  # each gateway sends twice a second for 5 s: 40 requests a second per endpoint
         now = started_at + step * SECOND // 2
         for gateway in fleet:
-            for sent in of(gateway.handle(now, arrival(step)), SendAttempt):
+            for sent in of_type(gateway.handle(now, arrival(step)), SendAttempt):
                 total += 1
                 sent_at += [now] * (sent.endpoint == 10)
                 gateway.handle(now, AttemptEnded(step, 0, sent.endpoint, Outcome.OK, 100_000, True))
@@ -147,7 +147,7 @@
     total = 0
     for n in range(100):
         now = SECOND + n * 1000
-        for sent in of(gateway.handle(now, arrival(n)), SendAttempt):
+        for sent in of_type(gateway.handle(now, arrival(n)), SendAttempt):
             total += 1
             gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 9000, True))
     assert 5 < total < 60
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -32,7 +32,7 @@
     endpoint_entry,
     endpoints_used,
     listed,
-    of,
+    of_type,
     settings,
 )
 
@@ -138,7 +138,7 @@
     assert len(candidates) < 3000
     assert with_partial_list.endpoints.candidates.keys() == with_full_list.endpoints.candidates.keys()
     for gateway in (with_full_list, with_partial_list):
-        sent = [n for n in range(1000) if of(gateway.handle(1, arrival(n)), SendAttempt)]
+        sent = [n for n in range(1000) if of_type(gateway.handle(1, arrival(n)), SendAttempt)]
         assert len(sent) > 90  # the limit is half of 16 / 700 of 9,000 endpoints; by candidates, only a few
     preferred_of_partial_list, preferred_of_full_list = (
         with_partial_list.endpoints.preferred,
