--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
     return ListedEndpoint(id=number, state=state, started_at=started_at, **fields)
 
 
-def listed(*entries: ListedEndpoint, kind: ListKind = ListKind.FULL) -> EndpointsListed:
+def endpoints_listed(*entries: ListedEndpoint, kind: ListKind = ListKind.FULL) -> EndpointsListed:
     return EndpointsListed(kind, 1, entries)
 
 
@@ -91,7 +91,7 @@
 def gateway_with_endpoints(endpoint_count: int = 4, **changes: Any) -> Gateway:
     """A gateway that knows of endpoints 1 to `endpoint_count`."""
     made = Gateway(settings(**changes), seed=1)
-    made.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
+    made.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return made
 
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -16,7 +16,7 @@
 from quota_ingress.policy.events import AttemptEnded, Event, Outcome, TimerFired
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import Safety
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, settings
+from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, endpoints_listed, settings
 
 CORES = 3  # of an endpoint
 MAX_REQUESTS = 63  # at an endpoint, those in its queue included
@@ -105,15 +105,15 @@
         self.gateways: list[Gateway] = []
         for index in range(self.gateway_count):
             self.gateways.append(self._make_gateway(index))
-            self._handle(index, 0, listed(*warm))
-            change = partial(self._handle, index, event=listed(*warming, kind=ListKind.DELTA))
+            self._handle(index, 0, endpoints_listed(*warm))
+            change = partial(self._handle, index, event=endpoints_listed(*warming, kind=ListKind.DELTA))
             self._at(WARMING_START + self.rng.randrange(1, self.max_list_delay), change)
         weights = [math.exp(self.rng.gauss(0, self.traffic_skew)) for _ in self.gateways]
 
         def restart(now: int) -> None:
             for index in range(0, self.gateway_count, 3):
                 self.gateways[index] = self._make_gateway(index)
-                self._handle(index, now, listed(*warm, *warming))
+                self._handle(index, now, endpoints_listed(*warm, *warming))
 
         self._at(1, partial(self._arrive, weights))
         if self.restart_after >= 0:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,8 +14,8 @@
     Counter,
     arrival,
     endpoint_entry,
+    endpoints_listed,
     gateway_with_endpoints,
-    listed,
     of_type,
     settings,
     settle,
@@ -87,7 +87,7 @@
     gateways_in_fleet: int, first_index: int, claimed_count: int
 ) -> None:
     gateway, counter = Gateway(settings(fleet_size=gateways_in_fleet), 1), Counter()
-    gateway.handle(0, listed(endpoint_entry(1), endpoint_entry(2)))
+    gateway.handle(0, endpoints_listed(endpoint_entry(1), endpoint_entry(2)))
     sent = 0
     for n in range(60):
         event = arrival(n, first_gateway=first_index, gateway_count=claimed_count)
--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -16,8 +16,8 @@
     Counter,
     arrival,
     endpoint_entry,
+    endpoints_listed,
     gateway_with_endpoints,
-    listed,
     of_type,
     settings,
     settle,
@@ -116,7 +116,7 @@
 ) -> None:
     plan = Plan("mid", 2.0, burst=8.0)
     gateway = Gateway(settings(fleet_size=200, plans=(plan,)), 1)
-    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 25))))
+    gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, 25))))
     order = itertools.count()
     calls = 0
     events: list[tuple[int, int, Event]] = []
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -6,12 +6,21 @@
 from quota_ingress.policy.endpoint_list import ListedEndpoint
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of_type, sent_to, settings
+from tests.helpers import (
+    SECOND,
+    UNLIMITED_PLANS,
+    arrival,
+    endpoint_entry,
+    endpoints_listed,
+    of_type,
+    sent_to,
+    settings,
+)
 
 
 def make_gateway(*entries: ListedEndpoint, **changes: object) -> Gateway:
     new_gateway = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    new_gateway.handle(0, listed(*entries))
+    new_gateway.handle(0, endpoints_listed(*entries))
     return new_gateway
 
 
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -12,8 +12,8 @@
     UNLIMITED_PLANS,
     arrival,
     endpoint_entry,
+    endpoints_listed,
     endpoints_used,
-    listed,
     of_type,
     sent_to,
     settings,
@@ -22,29 +22,31 @@
 
 def make_gateway(endpoint_count: int, **changes: object) -> Gateway:
     new_gateway = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    new_gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
+    new_gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return new_gateway
 
 
 def test_an_endpoint_missing_from_a_full_list_is_removed_but_one_missing_from_a_delta_is_kept() -> None:
     gateway = make_gateway(2)
-    gateway.handle(10, listed(endpoint_entry(2), kind=ListKind.DELTA))
+    gateway.handle(10, endpoints_listed(endpoint_entry(2), kind=ListKind.DELTA))
     assert set(sent_to(gateway, 10, range(8))) == {1, 2}
-    gateway.handle(20, listed(endpoint_entry(2)))
+    gateway.handle(20, endpoints_listed(endpoint_entry(2)))
     assert set(sent_to(gateway, 20, range(10, 14))) <= {2}
 
 
 def test_removed_endpoints_are_forgotten() -> None:
     gateway = make_gateway(1)
     for n in range(2, 50):
-        gateway.handle(n, listed(endpoint_entry(n), endpoint_entry(n - 1, REMOVED), kind=ListKind.DELTA))
+        gateway.handle(
+            n, endpoints_listed(endpoint_entry(n), endpoint_entry(n - 1, REMOVED), kind=ListKind.DELTA)
+        )
     assert set(gateway.endpoints.candidates) == {49}
 
 
 def test_attempts_that_end_after_their_endpoint_restarted_are_counted_down() -> None:
     gateway = make_gateway(1)
     (sent,) = of_type(gateway.handle(0, arrival(1)), SendAttempt)
-    gateway.handle(10, listed(endpoint_entry(1, started_at=10), kind=ListKind.DELTA))
+    gateway.handle(10, endpoints_listed(endpoint_entry(1, started_at=10), kind=ListKind.DELTA))
     gateway.handle(20, AttemptEnded(1, 0, sent.endpoint, Outcome.RESET, 20, True))
     assert gateway.endpoints.in_flight == 0 and gateway.endpoints.candidates[1].in_flight == 0
 
@@ -56,7 +58,7 @@
         for index in range(gateway_count)
     ]
     for gateway in fleet:
-        gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
+        gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return [endpoints_used(gateway, 0, 0) for gateway in fleet]
 
 
@@ -78,7 +80,7 @@
 def test_a_subset_keeps_its_endpoints_and_gains_others_when_endpoints_are_removed() -> None:
     gateway = make_gateway(60, fleet_size=40)
     before = endpoints_used(gateway, 0, 0)
-    gateway.handle(SECOND, listed(*(endpoint_entry(n) for n in range(1, 41))))  # a zone was removed
+    gateway.handle(SECOND, endpoints_listed(*(endpoint_entry(n) for n in range(1, 41))))  # a zone was removed
     after = endpoints_used(gateway, SECOND, 1000)
     assert after >= {n for n in before if n <= 40} and len(after) > 10
 
@@ -87,7 +89,7 @@
     gateway = make_gateway(60, fleet_size=40)
     preferred = endpoints_used(gateway, 0, 0)
     drained = [endpoint_entry(n, EndpointState.DRAINING) for n in preferred]
-    gateway.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
+    gateway.handle(SECOND, endpoints_listed(*drained, kind=ListKind.DELTA))
     others = endpoints_used(gateway, SECOND, 1000)
     assert others and not others & preferred
 
@@ -96,6 +98,6 @@
     """Guards against subsets by id, which would differ: every ingress process assigns its own ids."""
     first = Gateway(settings(fleet_size=40, plans=UNLIMITED_PLANS), 3)
     second = Gateway(settings(fleet_size=40, plans=UNLIMITED_PLANS), 3)
-    first.handle(0, listed(*(endpoint_entry(n, hash_key=1000 + n) for n in range(1, 61))))
-    second.handle(0, listed(*(endpoint_entry(100 - n, hash_key=1000 + n) for n in range(1, 61))))
+    first.handle(0, endpoints_listed(*(endpoint_entry(n, hash_key=1000 + n) for n in range(1, 61))))
+    second.handle(0, endpoints_listed(*(endpoint_entry(100 - n, hash_key=1000 + n) for n in range(1, 61))))
     assert endpoints_used(first, 0, 0) == {100 - n for n in endpoints_used(second, 0, 0)}
--- a/tests/test_fleet_quotas.py
+++ b/tests/test_fleet_quotas.py
@@ -20,7 +20,7 @@
 )
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import Plan
-from tests.helpers import SECOND, endpoint_entry, listed, settings
+from tests.helpers import SECOND, endpoint_entry, endpoints_listed, settings
 
 CALL_LATENCY = SECOND // 100  # us, of the counter
 ANSWER_LATENCY = SECOND // 10  # us, of the endpoints
@@ -94,7 +94,7 @@
         request = RequestArrived(number, 0, plan, customer, 1.0, 3 * SECOND, customer % size, size)
         schedule(at, gateway, request)
     for gateway in range(size):
-        schedule(0, gateway, listed(*(endpoint_entry(n) for n in range(1, 25))))
+        schedule(0, gateway, endpoints_listed(*(endpoint_entry(n) for n in range(1, 25))))
     sent: set[int] = set()
     while events:
         now, _, gateway, event = heapq.heappop(events)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -45,8 +45,8 @@
     UNLIMITED_PLANS,
     arrival,
     endpoint_entry,
+    endpoints_listed,
     gateway_with_endpoints,
-    listed,
     of_type,
     settings,
 )
@@ -100,7 +100,7 @@
         self.requests: dict[int, ObservedRequest] = {}
         self.calls: list[PendingCall] = []
         self.timers: list[SetTimer] = []
-        self.feed(listed(*(endpoint_entry(n) for n in self.cells)))
+        self.feed(endpoints_listed(*(endpoint_entry(n) for n in self.cells)))
 
     def feed(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -153,7 +153,7 @@
         elif choice == 6:
             number = self.rng.choice(list(self.states))
             self.states[number] = self.rng.choice([READY, READY, DRAINING, REMOVED])
-            self.feed(listed(endpoint_entry(number, self.states[number]), kind=ListKind.DELTA))
+            self.feed(endpoints_listed(endpoint_entry(number, self.states[number]), kind=ListKind.DELTA))
         elif choice == 7 and self.calls:
             self.answer_call(self.rng.choice([Outcome.OK, Outcome.OK, Outcome.REJECTED]))
         else:
@@ -293,13 +293,15 @@
 
 def test_subscribes_to_the_endpoint_list_if_the_settings_require_it() -> None:
     gateway = Gateway(settings(must_subscribe=True), 1)
-    assert of_type(gateway.handle(0, listed(endpoint_entry(1), kind=ListKind.CACHED)), SubscribeToEndpoints)
+    assert of_type(
+        gateway.handle(0, endpoints_listed(endpoint_entry(1), kind=ListKind.CACHED)), SubscribeToEndpoints
+    )
     assert of_type(gateway.handle(9, EndpointsListed(ListKind.FAILED, 0, ())), SubscribeToEndpoints)
 
 
 def test_idle_customers_are_discarded_once_their_bucket_must_be_full() -> None:
     gateway = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
-    gateway.handle(0, listed(endpoint_entry(1)))
+    gateway.handle(0, endpoints_listed(endpoint_entry(1)))
     for n in range(40):  # a window is two seconds long
         gateway.handle(n * SECOND, arrival(n, customer=n))
         gateway.handle(n * SECOND, ClientDisconnected(n))
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -15,7 +15,7 @@
     UNLIMITED_PLANS,
     arrival,
     endpoint_entry,
-    listed,
+    endpoints_listed,
     of_type,
     sent_to,
     settings,
@@ -24,14 +24,14 @@
 
 def make_gateway(*entries: ListedEndpoint, **changes: object) -> Gateway:
     new_gateway = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    new_gateway.handle(0, listed(*entries))
+    new_gateway.handle(0, endpoints_listed(*entries))
     return new_gateway
 
 
 @pytest.mark.parametrize("state", [DRAINING, REMOVED])
 def test_no_new_attempt_is_sent_to_a_draining_or_removed_endpoint(state: EndpointState) -> None:
     gateway = make_gateway(endpoint_entry(1), endpoint_entry(2))
-    gateway.handle(10, listed(endpoint_entry(1, state), kind=ListKind.DELTA))
+    gateway.handle(10, endpoints_listed(endpoint_entry(1, state), kind=ListKind.DELTA))
     assert set(sent_to(gateway, 10, range(8))) == {2}
 
 
@@ -83,7 +83,7 @@
     chosen = []
     for index in range(8):  # together they use each endpoint once or twice
         gateway = Gateway(settings(fleet_size=300, gateway_index=index, plans=UNLIMITED_PLANS), 3)
-        gateway.handle(0, listed(*(endpoint_entry(n, weight=2.0 + n % 2) for n in range(1, 61))))
+        gateway.handle(0, endpoints_listed(*(endpoint_entry(n, weight=2.0 + n % 2) for n in range(1, 61))))
         for n in range(500):
             for sent in of_type(gateway.handle(n * 500_000, arrival(n)), SendAttempt):
                 chosen.append(sent.endpoint % 2)
@@ -93,7 +93,7 @@
 
 def test_a_class_that_fails_on_some_endpoints_avoids_them_but_other_classes_do_not() -> None:
     gateway = Gateway(settings(plans=UNLIMITED_PLANS, limits={"max_attempts": 1}), 3)
-    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 5))))
+    gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, 5))))
     chosen: list[list[int]] = [[], []]
     for n in range(400):
         request_class = n % 2
--- a/tests/test_quiescence.py
+++ b/tests/test_quiescence.py
@@ -20,7 +20,17 @@
     TimerFired,
 )
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import DRAINING, PLANS, READY, REMOVED, SECOND, arrival, endpoint_entry, listed, settings
+from tests.helpers import (
+    DRAINING,
+    PLANS,
+    READY,
+    REMOVED,
+    SECOND,
+    arrival,
+    endpoint_entry,
+    endpoints_listed,
+    settings,
+)
 
 OUTCOMES = list(Outcome)
 CALL_OUTCOMES = [Outcome.OK] * 5 + [
@@ -51,7 +61,7 @@
         self.calls: list[tuple[AddToCounter, int]] = []
         self.timers: list[SetTimer] = []
         self.totals: dict[int, float] = {}
-        self.handle(listed(*(endpoint_entry(n) for n in range(1, 7))))
+        self.handle(endpoints_listed(*(endpoint_entry(n) for n in range(1, 7))))
 
     def handle(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -127,7 +137,7 @@
             state = self.rng.choice([READY, READY, DRAINING, REMOVED])
             started_at = self.rng.choice([0, self.now])
             changed = endpoint_entry(self.rng.randrange(1, 7), state, started_at=started_at)
-            self.handle(listed(changed, kind=ListKind.DELTA))
+            self.handle(endpoints_listed(changed, kind=ListKind.DELTA))
         elif chance < 0.95:
             self.gateway.hand_over()
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -15,12 +15,21 @@
 from quota_ingress.policy.request_state import Attempt, Request
 from quota_ingress.policy.retry_policy import RetryPolicy
 from quota_ingress.policy.settings import DeduplicationScope, Idempotency
-from tests.helpers import CLASSES, SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of_type, settings
+from tests.helpers import (
+    CLASSES,
+    SECOND,
+    UNLIMITED_PLANS,
+    arrival,
+    endpoint_entry,
+    endpoints_listed,
+    of_type,
+    settings,
+)
 
 
 def make_gateway(endpoint_count: int, **changes: object) -> Gateway:
     new_gateway = Gateway(settings(plans=UNLIMITED_PLANS, **changes), seed=3)
-    new_gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
+    new_gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return new_gateway
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -10,7 +10,15 @@
 from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.events import AttemptEnded, Outcome
 from quota_ingress.policy.gateway import Gateway
-from tests.helpers import SECOND, UNLIMITED_PLANS, arrival, endpoint_entry, listed, of_type, settings
+from tests.helpers import (
+    SECOND,
+    UNLIMITED_PLANS,
+    arrival,
+    endpoint_entry,
+    endpoints_listed,
+    of_type,
+    settings,
+)
 from tests.support.fleet_simulation import SAFETY, FleetSimulation
 
 FLEET_SIZES = [1, 3, 8, 12, 16, 20, 30, 60, 200]
@@ -72,7 +80,8 @@
     for seed in range(30):
         gateway = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
         gateway.handle(
-            SECOND, listed(*(endpoint_entry(n) for n in range(4)), endpoint_entry(9, started_at=SECOND))
+            SECOND,
+            endpoints_listed(*(endpoint_entry(n) for n in range(4)), endpoint_entry(9, started_at=SECOND)),
         )
         gateway.endpoints.candidates[9].in_flight = 1  # the endpoint is at its limit, the others are not
         for n in range(200):
@@ -91,9 +100,9 @@
     sent_to_warming = 0
     for seed in range(30):
         gateway = Gateway(settings(fleet_size=30, plans=UNLIMITED_PLANS), seed)
-        gateway.handle(0, listed(*(endpoint_entry(n) for n in range(4))))
+        gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(4))))
         attempts = [sent for n in range(200) for sent in of_type(gateway.handle(n, arrival(n)), SendAttempt)]
-        gateway.handle(SECOND, listed(endpoint_entry(9, started_at=SECOND), kind=ListKind.DELTA))
+        gateway.handle(SECOND, endpoints_listed(endpoint_entry(9, started_at=SECOND), kind=ListKind.DELTA))
         for sent in attempts:
             gateway.handle(SECOND, AttemptEnded(sent.request, 0, sent.endpoint, Outcome.OK, 9000, True))
         sent_to_warming += sum(
@@ -104,12 +113,12 @@
 
 def test_one_gateway_keeps_a_warming_endpoint_within_its_budget() -> None:
     gateway = Gateway(settings(plans=UNLIMITED_PLANS), seed=3)
-    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 5))))
+    gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, 5))))
     now, sent_at = 0, []
     for n in range(4000):
         now += 5000  # 200 requests a second for four warm endpoints: 50 for each
         if n == 2000:
-            gateway.handle(now, listed(endpoint_entry(9, started_at=now), kind=ListKind.DELTA))
+            gateway.handle(now, endpoints_listed(endpoint_entry(9, started_at=now), kind=ListKind.DELTA))
         for sent in of_type(gateway.handle(now, arrival(n)), SendAttempt):
             sent_at += [now] * (sent.endpoint == 9)
             gateway.handle(now, AttemptEnded(n, 0, sent.endpoint, Outcome.OK, 100_000, True))
@@ -125,8 +134,10 @@
     fleet = [Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), seed) for seed in range(200)]
     started_at, total = 10 * SECOND, 0
     for gateway in fleet:
-        gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, 10))))
-        gateway.handle(started_at, listed(endpoint_entry(10, started_at=started_at), kind=ListKind.DELTA))
+        gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, 10))))
+        gateway.handle(
+            started_at, endpoints_listed(endpoint_entry(10, started_at=started_at), kind=ListKind.DELTA)
+        )
     sent_at: list[int] = []
     for step in range(10):  # each gateway sends twice a second for 5 s: 40 requests a second per endpoint
         now = started_at + step * SECOND // 2
@@ -143,7 +154,7 @@
 
 def test_requests_are_sent_while_all_endpoints_are_warming_up() -> None:
     gateway = Gateway(settings(fleet_size=200, plans=UNLIMITED_PLANS), 3)
-    gateway.handle(SECOND, listed(*(endpoint_entry(n, started_at=SECOND) for n in range(1, 5))))
+    gateway.handle(SECOND, endpoints_listed(*(endpoint_entry(n, started_at=SECOND) for n in range(1, 5))))
     total = 0
     for n in range(100):
         now = SECOND + n * 1000
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -30,8 +30,8 @@
     UNLIMITED_PLANS,
     arrival,
     endpoint_entry,
+    endpoints_listed,
     endpoints_used,
-    listed,
     of_type,
     settings,
 )
@@ -95,7 +95,7 @@
 
 def gateway_with_list(endpoint_count: int, fleet_size: int = FLEET_SIZE) -> Gateway:
     gateway = gateway_of_fleet(fleet_size)
-    gateway.handle(0, listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
+    gateway.handle(0, endpoints_listed(*(endpoint_entry(n) for n in range(1, endpoint_count + 1))))
     return gateway
 
 
@@ -108,7 +108,7 @@
     assert preferred < candidates
     assert endpoints_used(gateway, 0, 0) <= preferred
     drained = [endpoint_entry(n, DRAINING) for n in preferred]
-    gateway.handle(SECOND, listed(*drained, kind=ListKind.DELTA))
+    gateway.handle(SECOND, endpoints_listed(*drained, kind=ListKind.DELTA))
     assert endpoints_used(gateway, SECOND, 1000) <= candidates - preferred
 
 
@@ -118,7 +118,7 @@
     candidate = next(iter(gateway.endpoints.candidates))
     costs = []
     for n in range(40):
-        event = listed(endpoint_entry(candidate, started_at=n), kind=ListKind.DELTA)
+        event = endpoints_listed(endpoint_entry(candidate, started_at=n), kind=ListKind.DELTA)
         began = time.process_time()
         gateway.handle(n, event)
         costs.append(time.process_time() - began)
@@ -195,10 +195,12 @@
         expected: dict[int, ListedEndpoint] = {}
         for event in events:
             entries = [endpoint_entry(entry.id, entry.state, entry.started_at) for entry in event.entries]
-            changed.handle(0, listed(*entries, kind=ListKind.FULL if event.is_full else ListKind.DELTA))
+            changed.handle(
+                0, endpoints_listed(*entries, kind=ListKind.FULL if event.is_full else ListKind.DELTA)
+            )
             expected = ({} if event.is_full else expected) | {entry.id: entry for entry in entries}
             expected = {n: entry for n, entry in expected.items() if entry.state is not REMOVED}
-        fresh.handle(0, listed(*expected.values()))
+        fresh.handle(0, endpoints_listed(*expected.values()))
     actual_set, expected_set = changed.endpoints, fresh.endpoints
     assert actual_set.listed_endpoints == expected_set.listed_endpoints == expected
     assert actual_set.ready_total == expected_set.ready_total
