--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -125,13 +125,13 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-class Counter:
+class FakeCounter:
     """The counting service, answering at once."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
 
-    def answers(self, actions: list[Action]) -> list[CounterAnswered]:
+    def apply(self, actions: list[Action]) -> list[CounterAnswered]:
         found = []
         for add in of_type(actions, AddToCounter):
             self.totals[add.name] = self.totals.get(add.name, 0.0) + add.amount
@@ -139,12 +139,12 @@
         return found
 
 
-def settle(gateway: Any, now: int, event: Event, counter: Counter) -> list[Action]:
+def handle_with_counter(gateway: Any, now: int, event: Event, counter: FakeCounter) -> list[Action]:
     """Handles the event and every answer of the counter that follows; all actions in order."""
     done: list[Action] = []
     queue: list[Event] = [event]
     while queue:
         actions = gateway.handle(now, queue.pop(0))
         done += actions
-        queue += counter.answers(actions)
+        queue += counter.apply(actions)
     return done
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,22 +11,22 @@
 from tests.helpers import (
     PLANS,
     SECOND,
-    Counter,
+    FakeCounter,
     arrival,
     endpoint_entry,
     endpoints_listed,
     gateway_with_endpoints,
+    handle_with_counter,
     of_type,
     settings,
-    settle,
 )
 
 
 def test_retry_after_depends_on_the_capacity_of_the_borrowing_ring() -> None:
     answers = []
     for capacity in (0.0, 2.0):
-        gateway, counter = gateway_with_endpoints(), Counter()
-        settle(gateway, 0, arrival(1), counter)
+        gateway, counter = gateway_with_endpoints(), FakeCounter()
+        handle_with_counter(gateway, 0, arrival(1), counter)
         quota = gateway.admission.customers[7]
         assert isinstance(quota, LeasedQuota)
         quota.bucket.leased_units = 0.0
@@ -36,21 +36,24 @@
         quota.book_retry(0, 1.0)
         for slot in quota.ring.slots:
             slot.capacity = capacity
-        answers.append(of_type(settle(gateway, 0, arrival(2), counter), Reject)[0].retry_after)
+        answers.append(of_type(handle_with_counter(gateway, 0, arrival(2), counter), Reject)[0].retry_after)
     assert answers == [0, 500_000]
 
 
 def test_idle_customers_are_discarded() -> None:
-    gateway, counter = gateway_with_endpoints(), Counter()
+    gateway, counter = gateway_with_endpoints(), FakeCounter()
     for n in range(50):
-        settle(gateway, 0, arrival(n, customer=n), counter)
-    settle(gateway, 60 * SECOND, arrival(99, customer=99), counter)
+        handle_with_counter(gateway, 0, arrival(n, customer=n), counter)
+    handle_with_counter(gateway, 60 * SECOND, arrival(99, customer=99), counter)
     assert list(gateway.admission.customers) == [99]
 
 
 def test_over_quota_requests_are_sent_if_the_plan_pays_and_endpoints_have_spare_capacity() -> None:
-    gateway, counter = gateway_with_endpoints(), Counter()
-    sent = sum(len(of_type(settle(gateway, 0, arrival(n, plan=1), counter), SendAttempt)) for n in range(40))
+    gateway, counter = gateway_with_endpoints(), FakeCounter()
+    sent = sum(
+        len(of_type(handle_with_counter(gateway, 0, arrival(n, plan=1), counter), SendAttempt))
+        for n in range(40)
+    )
     assert 4 < sent <= 20  # beyond the burst of 4, but only up to 0.6 of the endpoints' capacity of 4 * 8
 
 
@@ -64,13 +67,13 @@
 
 
 def test_two_gateways_do_not_exceed_the_hard_ceiling_when_they_restart() -> None:
-    counter = Counter()
+    counter = FakeCounter()
     sent = []
     for run in range(3):
         gateways = [gateway_with_endpoints(), gateway_with_endpoints()]
         for ms in range(0, 4000, 20):
             now = run * 4 * SECOND + ms * 1000
-            actions = settle(gateways[ms // 20 % 2], now, arrival(now, plan=3), counter)
+            actions = handle_with_counter(gateways[ms // 20 % 2], now, arrival(now, plan=3), counter)
             sent += [now] * len(of_type(actions, SendAttempt))
     remaining = 8.0
     last_sent_at = 0
@@ -86,10 +89,10 @@
 def test_invalid_gateway_counts_admit_at_most_one_burst(
     gateways_in_fleet: int, first_index: int, claimed_count: int
 ) -> None:
-    gateway, counter = Gateway(settings(fleet_size=gateways_in_fleet), 1), Counter()
+    gateway, counter = Gateway(settings(fleet_size=gateways_in_fleet), 1), FakeCounter()
     gateway.handle(0, endpoints_listed(endpoint_entry(1), endpoint_entry(2)))
     sent = 0
     for n in range(60):
         event = arrival(n, first_gateway=first_index, gateway_count=claimed_count)
-        sent += len(of_type(settle(gateway, 0, event, counter), SendAttempt))
+        sent += len(of_type(handle_with_counter(gateway, 0, event, counter), SendAttempt))
     assert sent <= PLANS[0].burst
--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -13,14 +13,14 @@
 from quota_ingress.policy.settings import Plan
 from tests.helpers import (
     SECOND,
-    Counter,
+    FakeCounter,
     arrival,
     endpoint_entry,
     endpoints_listed,
     gateway_with_endpoints,
+    handle_with_counter,
     of_type,
     settings,
-    settle,
 )
 
 
@@ -41,14 +41,16 @@
 
 def test_rejected_calls_reduce_the_rate_of_calls() -> None:
     def calls(rejected: int) -> int:
-        gateway, counter = gateway_with_endpoints(), Counter()
+        gateway, counter = gateway_with_endpoints(), FakeCounter()
         for n in range(rejected):
             for add in of_type(gateway.handle(0, arrival(n, customer=n + 100)), AddToCounter):
                 gateway.handle(0, CounterAnswered(add.name, Outcome.REJECTED, 0.0, 1000))
         call_count = 0
         for n in range(200):
             new_arrival = arrival(1000 + n, customer=n)
-            call_count += len(of_type(settle(gateway, SECOND + n * 1000, new_arrival, counter), AddToCounter))
+            call_count += len(
+                of_type(handle_with_counter(gateway, SECOND + n * 1000, new_arrival, counter), AddToCounter)
+            )
         return call_count
 
     assert calls(8) < 0.8 * calls(0)
--- a/tests/test_counted_quota.py
+++ b/tests/test_counted_quota.py
@@ -13,7 +13,15 @@
 from quota_ingress.policy.events import CounterAnswered, Outcome, TimerFired
 from quota_ingress.policy.gateway import Gateway
 from quota_ingress.policy.settings import CounterLimits
-from tests.helpers import SECOND, Counter, answer_attempts, arrival, gateway_with_endpoints, of_type, settle
+from tests.helpers import (
+    SECOND,
+    FakeCounter,
+    answer_attempts,
+    arrival,
+    gateway_with_endpoints,
+    handle_with_counter,
+    of_type,
+)
 
 FLEET_SIZE = 30
 BURST, RATE = 4.0, 2.0  # of plan 0
@@ -46,7 +54,7 @@
     The requests arrive at random times (`mean_gap` in us apart), each at a random gateway.
     """
     fleet = [gateway_of_large_fleet() for _ in range(FLEET_SIZE)]
-    counter = Counter()
+    counter = FakeCounter()
     rng = random.Random(5)
     sent = [0, 0]
     remaining = BURST
@@ -62,7 +70,7 @@
         gateway = rng.choice(fleet)
         gateway.admission.call_pacing.congestion = congestion
         event = arrival(number, gateway_count=FLEET_SIZE, time_left=SECOND)
-        if answer_attempts(gateway, now, settle(gateway, now, event, counter)):
+        if answer_attempts(gateway, now, handle_with_counter(gateway, now, event, counter)):
             sent[remaining < 1] += 1
             remaining -= remaining >= 1
     return Sent(*sent)
@@ -90,23 +98,25 @@
 
 def test_after_a_pause_a_customer_gets_exactly_its_burst_again() -> None:
     fleet = [gateway_of_large_fleet() for _ in range(FLEET_SIZE)]
-    counter = Counter()
+    counter = FakeCounter()
     sent = []
     for start in (SECOND, 31 * SECOND):  # one request at each gateway, all at the same time
         sent.append(0)
         for n, gateway in enumerate(fleet):
-            actions = settle(gateway, start, arrival(start + n, gateway_count=FLEET_SIZE), counter)
+            actions = handle_with_counter(
+                gateway, start, arrival(start + n, gateway_count=FLEET_SIZE), counter
+            )
             sent[-1] += answer_attempts(gateway, start, actions)
     assert sent == [BURST, BURST]
 
 
 def test_a_request_is_deferred_until_the_counter_may_be_called() -> None:
-    gateway, counter = gateway_of_large_fleet(), Counter()
+    gateway, counter = gateway_of_large_fleet(), FakeCounter()
     set_pacing(gateway, next_call_at=SECOND + 50_000, congestion=8.0)
     actions = gateway.handle(SECOND, arrival(1, gateway_count=FLEET_SIZE))
     (timer,) = of_type(actions, SetTimer)
     assert not of_type(actions, AddToCounter | Reject | SendAttempt)
-    actions_when_due = settle(gateway, timer.at, TimerFired(timer.token), counter)
+    actions_when_due = handle_with_counter(gateway, timer.at, TimerFired(timer.token), counter)
     assert answer_attempts(gateway, timer.at, actions_when_due) == 1
     assert len(counter.totals) == 1
 
