--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -103,7 +103,7 @@
     return len(sent)
 
 
-def sent_to(gateway: Gateway, now: int, requests: range, **changes: Any) -> list[int]:
+def chosen_endpoints(gateway: Gateway, now: int, requests: range, **changes: Any) -> list[int]:
     """Returns the endpoints that these requests are sent to, all at one moment."""
     attempts = [
         sent for n in requests for sent in of_type(gateway.handle(now, arrival(n, **changes)), SendAttempt)
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -10,10 +10,10 @@
     SECOND,
     UNLIMITED_PLANS,
     arrival,
+    chosen_endpoints,
     endpoint_entry,
     endpoints_listed,
     of_type,
-    sent_to,
     settings,
 )
 
@@ -26,19 +26,19 @@
 
 def test_attempts_in_flight_at_an_endpoint_are_limited_and_slow_answers_lower_the_limit() -> None:
     gateway = make_gateway(endpoint_entry(1))
-    sent = sent_to(gateway, 0, range(100))
+    sent = chosen_endpoints(gateway, 0, range(100))
     assert 1 < len(sent) <= 16
     for n in range(len(sent)):
         gateway.handle(900_000, AttemptEnded(n, 0, 1, Outcome.OK, 900_000, True))
-    assert len(sent_to(gateway, 900_000, range(200, 300))) < len(sent) / 2
+    assert len(chosen_endpoints(gateway, 900_000, range(200, 300))) < len(sent) / 2
 
 
 def test_fast_answers_do_not_lower_the_limit() -> None:
     gateway = make_gateway(endpoint_entry(1))
-    before = len(sent_to(gateway, 0, range(100)))
+    before = len(chosen_endpoints(gateway, 0, range(100)))
     for n in range(before):
         gateway.handle(50_000, AttemptEnded(n, 0, 1, Outcome.OK, 50_000, True))
-    assert len(sent_to(gateway, 60_000, range(200, 300))) >= before
+    assert len(chosen_endpoints(gateway, 60_000, range(200, 300))) >= before
 
 
 def test_the_limit_of_a_warming_endpoint_grows_while_its_current_capacity_is_used() -> None:
@@ -69,7 +69,9 @@
     for n in range(60):
         for sent in of_type(gateway.handle(n, arrival(n)), SendAttempt):
             gateway.handle(n, AttemptEnded(n, 0, sent.endpoint, Outcome.TIMEOUT, 900_000, True))
-    assert 1 <= len(sent_to(gateway, 100, range(100, 200))) <= 4  # of eight endpoints, at sixteen gateways
+    assert (
+        1 <= len(chosen_endpoints(gateway, 100, range(100, 200))) <= 4
+    )  # of eight endpoints, at sixteen gateways
 
 
 def sent_after_failures(timed_out_of_20: int) -> int:
@@ -86,7 +88,7 @@
             outcome = Outcome.TIMEOUT if has_timed_out else Outcome.OK
             latency = 900_000 if has_timed_out else 250_000
             gateway.handle(n * 200_000, AttemptEnded(n, 0, sent.endpoint, outcome, latency, True))
-    return len(sent_to(gateway, 61 * SECOND, range(1000, 1030)))
+    return len(chosen_endpoints(gateway, 61 * SECOND, range(1000, 1030)))
 
 
 def test_many_timeouts_limit_a_gateway_to_one_or_two_attempts_and_some_timeouts_do_not() -> None:
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -11,11 +11,11 @@
     SECOND,
     UNLIMITED_PLANS,
     arrival,
+    chosen_endpoints,
     endpoint_entry,
     endpoints_listed,
     endpoints_used,
     of_type,
-    sent_to,
     settings,
 )
 
@@ -29,9 +29,9 @@
 def test_an_endpoint_missing_from_a_full_list_is_removed_but_one_missing_from_a_delta_is_kept() -> None:
     gateway = make_gateway(2)
     gateway.handle(10, endpoints_listed(endpoint_entry(2), kind=ListKind.DELTA))
-    assert set(sent_to(gateway, 10, range(8))) == {1, 2}
+    assert set(chosen_endpoints(gateway, 10, range(8))) == {1, 2}
     gateway.handle(20, endpoints_listed(endpoint_entry(2)))
-    assert set(sent_to(gateway, 20, range(10, 14))) <= {2}
+    assert set(chosen_endpoints(gateway, 20, range(10, 14))) <= {2}
 
 
 def test_removed_endpoints_are_forgotten() -> None:
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -14,10 +14,10 @@
     SECOND,
     UNLIMITED_PLANS,
     arrival,
+    chosen_endpoints,
     endpoint_entry,
     endpoints_listed,
     of_type,
-    sent_to,
     settings,
 )
 
@@ -32,7 +32,7 @@
 def test_no_new_attempt_is_sent_to_a_draining_or_removed_endpoint(state: EndpointState) -> None:
     gateway = make_gateway(endpoint_entry(1), endpoint_entry(2))
     gateway.handle(10, endpoints_listed(endpoint_entry(1, state), kind=ListKind.DELTA))
-    assert set(sent_to(gateway, 10, range(8))) == {2}
+    assert set(chosen_endpoints(gateway, 10, range(8))) == {2}
 
 
 def test_without_endpoints_a_request_is_rejected_immediately() -> None:
@@ -50,8 +50,8 @@
             for retry in of_type(gateway.handle(0, ended), SendAttempt):
                 assert retry.endpoint == 2
                 gateway.handle(0, AttemptEnded(n, 1, 2, Outcome.OK, 500, True))
-    assert 1 not in sent_to(gateway, 0, range(100, 103))
-    assert sent_to(gateway, 40 * SECOND, range(200, 203)).count(1) >= 1
+    assert 1 not in chosen_endpoints(gateway, 0, range(100, 103))
+    assert chosen_endpoints(gateway, 40 * SECOND, range(200, 203)).count(1) >= 1
 
 
 def fraction_sent_to_first(load: float, report_age: int) -> float:
