--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from quota_ingress.net.upstream import pool as upstream_pool
-from tests.net_helpers import OK, Ingress, PeerServer, Script, answers, listing, send_first
+from tests.net_helpers import OK, Ingress, PeerServer, Script, respond_with, send_first, single_endpoint_list
 from tests.support.streaming import IngressAndBackend
 from tests.support.upstream import PooledBackend
 
@@ -66,7 +66,7 @@
     """With a module that sends every request to `backend`."""
     ingress = Ingress(Script(send_first))
     await ingress.start()
-    ingress.engine.update_endpoints(listing(backend.port))
+    ingress.engine.update_endpoints(single_endpoint_list(backend.port))
     yield ingress
     ingress.stop()
 
@@ -74,7 +74,7 @@
 @pytest.fixture
 def backend_answers(backend: PeerServer) -> None:
     """The backend answers each request with OK."""
-    backend.heard = answers(OK)
+    backend.heard = respond_with(OK)
 
 
 @pytest_asyncio.fixture
@@ -90,7 +90,7 @@
 @pytest_asyncio.fixture
 async def pooled() -> AsyncIterator[PooledBackend]:
     """One backend that answers, behind the connection pools."""
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(respond_with(OK)).start()
     pooled = PooledBackend(server)
     yield pooled
     pooled.backends.stop()
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -71,9 +71,11 @@
     )
 
 
-def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> EndpointList:
+def single_endpoint_list(
+    port: int, status: str = "up", index: int = 1, is_snapshot: bool = True
+) -> EndpointList:
     entry = {"name": "s-1", "address": f"{HOST}:{port}", "status": status, "zone": "hall", "type": "big"}
-    return decode_endpoint_list({"index": index, "snapshot": whole, "endpoints": [entry]})
+    return decode_endpoint_list({"index": index, "snapshot": is_snapshot, "endpoints": [entry]})
 
 
 class Script:
@@ -171,7 +173,7 @@
             peer.transport.abort()
 
 
-def answers(reply: bytes) -> Callable[[Peer], None]:
+def respond_with(reply: bytes) -> Callable[[Peer], None]:
     """Answers each whole request (these have no body) on a connection with `reply`."""
 
     def heard(peer: Peer) -> None:
@@ -241,7 +243,7 @@
     return f"{method} /{cls}/x?y=1 HTTP/1.1\r\n{lines}\r\n".encode()
 
 
-def asked(backend: PeerServer) -> list[bytes]:
+def received_request_ids(backend: PeerServer) -> list[bytes]:
     """The ids that have reached the backend, in the order of connections."""
     return [part[:2] for peer in backend.peers for part in peer.data.split(b"Request-Id: ")[1:]]
 
--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -7,7 +7,7 @@
 import time
 
 from quota_ingress.policy.events import RequestArrived
-from tests.net_helpers import HOST, OK, Ingress, PeerServer, Script, listing, request, send_first
+from tests.net_helpers import HOST, OK, Ingress, PeerServer, Script, request, send_first, single_endpoint_list
 
 TIMEOUT = 2.0  # s, sent by each client
 
@@ -98,7 +98,7 @@
         sent_at = time.monotonic()
         await asyncio.sleep(0.8)
         ingress = Ingress(Script(send_first))
-        ingress.engine.update_endpoints(listing(backend.port))
+        ingress.engine.update_endpoints(single_endpoint_list(backend.port))
         await ingress.listener.listen(HOST, 0, listening.fileno())
         assert await forwarded_timeout(backend, "r0") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
         ingress.stop()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -25,7 +25,15 @@
     RequestArrived,
     TimerFired,
 )
-from tests.net_helpers import HOST, Ingress, PeerServer, Script, asked, listing, request
+from tests.net_helpers import (
+    HOST,
+    Ingress,
+    PeerServer,
+    Script,
+    received_request_ids,
+    request,
+    single_endpoint_list,
+)
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: `close` resets the connection
 
@@ -49,7 +57,7 @@
     monkeypatch.setattr(read_flow, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     ingress = Ingress(Script())
     await ingress.start()
-    ingress.engine.update_endpoints(listing(backend.port))
+    ingress.engine.update_endpoints(single_endpoint_list(backend.port))
     yield ingress
     ingress.stop()
 
@@ -90,7 +98,7 @@
     client = connect_client(ingress, data)
     await ingress.script.seen(RequestArrived)
     ids_before = [] if "counter" in trigger else [b"r0"]
-    await backend.until(lambda: asked(backend) == ids_before)
+    await backend.until(lambda: received_request_ids(backend) == ids_before)
     if data is MANY:
         (connection,) = ingress.listener.connections
         while not connection._read_flow.paused:
@@ -108,7 +116,7 @@
     assert not pool.dials and not pool.busy  # in the same loop iteration
     assert ingress.script.of(ClientDisconnected)
     (unsent,) = [e for e in ingress.script.of(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
-    assert unsent.request_ended and asked(backend) == ids_before
+    assert unsent.request_ended and received_request_ids(backend) == ids_before
 
 
 @pytest.mark.parametrize("close_type", ["closes", "resets"])
@@ -142,7 +150,7 @@
     (ended,) = ingress.script.of(AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT and ended.request_ended and ingress.script.of(ClientDisconnected)
     await backend.until(lambda: len(backend.closed) == 1)
-    assert asked(backend) == []
+    assert received_request_ids(backend) == []
 
 
 async def test_an_attempt_not_authorized_when_its_connection_is_established_is_not_sent(
@@ -154,7 +162,7 @@
     async with asyncio.timeout(10):
         assert (await ended).outcome is Outcome.NOT_SENT
     await backend.until(lambda: len(backend.closed) == 1)
-    assert exchange.ended and asked(backend) == [] and ingress.sockets.backends.in_use == 0
+    assert exchange.ended and received_request_ids(backend) == [] and ingress.sockets.backends.in_use == 0
 
 
 async def test_an_attempt_with_a_half_written_body_ends_at_a_disconnect(
@@ -179,7 +187,7 @@
     """Guards against leaving its request open: if the client does not read, unsent data delays the close."""
     ingress.script.rule = lambda event: [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) else []
     client = connect_client(ingress, request("r0"))
-    await backend.until(lambda: asked(backend) == [b"r0"])
+    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     connection.transport.set_write_buffer_limits(high=1 << 30)
     connection.transport.write(bytes(16_000_000))
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -15,9 +15,9 @@
     OK,
     Ingress,
     PeerServer,
-    answers,
-    asked,
+    received_request_ids,
     request,
+    respond_with,
 )
 
 
@@ -35,7 +35,7 @@
     """
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(9)) + request("s0") * 20)
-    await backend.until(lambda: asked(backend) == [b"r0"])
+    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
@@ -43,7 +43,7 @@
     await ingress.script.seen(ClientDisconnected)
     backend.peers[0].transport.write(OK)
     await ingress.script.seen(AttemptEnded)
-    assert asked(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
+    assert received_request_ids(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
     assert not ingress.listener.connections
 
 
@@ -54,7 +54,7 @@
     monkeypatch.setattr(read_flow, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(12)))
-    await backend.until(lambda: asked(backend) == [b"r0"])
+    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
@@ -63,14 +63,14 @@
     async with asyncio.timeout(10):
         while ingress.listener.connections:
             await asyncio.sleep(0)
-    assert asked(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
+    assert received_request_ids(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
 
 
 async def test_a_request_whose_client_disconnected_in_the_accept_queue_is_not_forwarded(
     ingress: Ingress, backend: PeerServer, no_reuse_delay: None
 ) -> None:
     """The request is read before the end of the stream, and an idle backend connection is available."""
-    backend.heard = answers(OK)
+    backend.heard = respond_with(OK)
     await ingress.ask(request("k0"))
     backend.heard = lambda peer: None
     ingress.listener.pause_accepting()
@@ -79,11 +79,11 @@
     await disconnect(writer)
     response = asyncio.create_task(ingress.ask(request("r1")))
     ingress.listener.resume_accepting()
-    await backend.until(lambda: b"r1" in asked(backend))
+    await backend.until(lambda: b"r1" in received_request_ids(backend))
     for peer in backend.peers:
         peer.transport.write(OK)
     assert (await response).startswith(b"HTTP/1.1 200 ")
-    assert asked(backend) == [b"r1"]
+    assert received_request_ids(backend) == [b"r1"]
 
 
 async def test_a_request_is_not_written_to_a_connection_established_after_its_client_has_disconnected(
@@ -112,4 +112,4 @@
     (ended,) = await ingress.script.seen(AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT and ended.request_ended
     await asyncio.sleep(0)
-    assert asked(backend) == []
+    assert received_request_ids(backend) == []
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_ingress.config import ConfigError, ConfigUnreadableError, load_config, reload_config
-from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
+from tests.net_helpers import HOST, OK, RAW, PeerServer, request, respond_with
 from tests.process_helpers import (
     answer_as_counter,
     answer_as_discovery,
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("known", [{"index": 1}, [], "?", {"index": 1e999, "snapshot": 1, "endpoints": []}])
 async def test_an_invalid_known_list_does_not_prevent_a_start(tmp_path: Path, known: Any) -> None:
     """The process asks discovery for the whole list instead, and serves requests with it."""
-    backend = await PeerServer(answers(OK)).start()
+    backend = await PeerServer(respond_with(OK)).start()
     listed_backend = {"name": "s-1", "address": f"{HOST}:{backend.port}", "status": "up"}
     agent, counter = (
         await PeerServer(answer_as_discovery(5, listed_backend)).start(),
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -16,10 +16,10 @@
     Ingress,
     Peer,
     PeerServer,
-    answers,
-    asked,
     entry,
+    received_request_ids,
     request,
+    respond_with,
 )
 from tests.support.upstream import REQUEST, PooledBackend
 
@@ -62,7 +62,7 @@
 
 
 async def test_idle_connections_are_closed_before_the_backend_does() -> None:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(respond_with(OK)).start()
     pooled = PooledBackend(server, idle_us=0)
     assert await pooled.outcome() is Outcome.OK
     assert await pooled.outcome() is Outcome.OK
@@ -93,7 +93,7 @@
 
 async def test_a_backend_may_change_its_address(pooled: PooledBackend) -> None:
     assert await pooled.outcome() is Outcome.OK
-    other = await PeerServer(answers(OK)).start()
+    other = await PeerServer(respond_with(OK)).start()
     pooled.list(port=other.port)
     await pooled.server.until(lambda: len(pooled.server.closed) == 1)
     assert await pooled.outcome() is Outcome.OK
@@ -103,9 +103,9 @@
 
 async def test_a_connection_with_unsolicited_data_is_not_reused(pooled: PooledBackend) -> None:
     """The start of a second response after the first would corrupt the response to the next request."""
-    pooled.server.heard = answers(OK + b"HTTP/1.1 2")
+    pooled.server.heard = respond_with(OK + b"HTTP/1.1 2")
     assert await pooled.outcome() is Outcome.OK
-    pooled.server.heard = answers(OK)
+    pooled.server.heard = respond_with(OK)
     assert await pooled.outcome() is Outcome.OK
     assert len(pooled.server.peers) == 2
 
@@ -115,11 +115,11 @@
 
     The next request was sent on that connection and got the duplicate.
     """
-    pooled.server.heard = answers(OK + OK)
+    pooled.server.heard = respond_with(OK + OK)
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
     def send_next(answer: AttemptResult) -> None:
-        pooled.server.heard = answers(OK.replace(b"warm", b"mine"))
+        pooled.server.heard = respond_with(OK.replace(b"warm", b"mine"))
         pooled.backends.send(1, REQUEST, done.set_result)
 
     pooled.backends.send(1, REQUEST, send_next)
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize(("size", "max_idle"), [(4, 3), (48, 1)])
 async def test_a_large_fleet_keeps_fewer_idle_connections_to_a_backend(size: int, max_idle: int) -> None:
-    backend = await PeerServer(answers(OK)).start()
+    backend = await PeerServer(respond_with(OK)).start()
     backends = UpstreamClient(DescriptorBudget(1024).backends, 10_000_000, 250_000, fleet_size=size)
     backends.register_endpoint(entry("s-1", backend.port), 1)
     results: list[asyncio.Future[AttemptResult]] = []
@@ -182,11 +182,11 @@
 ) -> None:
     """The duplicate may follow the next request, so a connection is not reused until after a delay."""
     first = asyncio.create_task(ingress.ask(request("r0")))
-    await backend.until(lambda: asked(backend) == [b"r0"])
+    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
     second = asyncio.create_task(ingress.ask(request("r1")))
-    await backend.until(lambda: b"r1" in asked(backend))
+    await backend.until(lambda: b"r1" in received_request_ids(backend))
     backend.peers[0].transport.write(DUPLICATE)
     await backend.until(lambda: backend.peers[0] in backend.closed)  # no request fails
     backend.peers[-1].transport.write(OK)
@@ -194,7 +194,7 @@
 
 
 async def test_a_connection_is_reused_after_the_reuse_delay(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = answers(OK)
+    backend.heard = respond_with(OK)
     assert (await ingress.ask(request("r0"))).endswith(b"warm")
     (pool,) = ingress.backends._pools.values()
     pool.now = lambda: asyncio.get_running_loop().time() + 1.0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,7 @@
 import pytest
 
 from quota_ingress.net.descriptors import DescriptorBudget
-from tests.net_helpers import HOST, OK, Peer, PeerServer, answers, request
+from tests.net_helpers import HOST, OK, Peer, PeerServer, request, respond_with
 from tests.process_helpers import ROOT, answer_as_counter, config_document, fetch, listening_port
 
 LIMIT = 256  # descriptors, the lowest limit that the platform may set
@@ -88,7 +88,7 @@
 async def test_idle_clients_cannot_use_up_the_descriptors_of_the_other_sides(
     tmp_path: Path, discovery_fault: str
 ) -> None:
-    first, second = [await PeerServer(answers(OK)).start() for _ in range(2)]
+    first, second = [await PeerServer(respond_with(OK)).start() for _ in range(2)]
     servers_by_name = {"a": first, "b": second}
 
     def list_document(index: int, **status: str) -> dict[str, Any]:
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -18,10 +18,10 @@
     OK,
     Ingress,
     PeerServer,
-    answers,
     read_answer,
     read_statuses,
     request,
+    respond_with,
     send_first,
 )
 
@@ -162,7 +162,7 @@
 async def test_unread_responses_are_bounded_and_then_the_connection_is_closed(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    backend.heard = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000)
+    backend.heard = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000)
     monkeypatch.setattr(timeouts_module, "UNREAD_TIMEOUT_S", 1000.0)
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.transport.pause_reading()
@@ -228,7 +228,7 @@
         original_respond(answer)  # type: ignore[arg-type]
 
     connection.respond = respond_after_next_request  # type: ignore[method-assign, assignment]
-    backend.heard = answers(OK)
+    backend.heard = respond_with(OK)
     backend.peers[0].transport.write(OK)
     assert await read_statuses(reader, 2) == [b"200"] * 2
     assert await reader.read() == b""
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -15,9 +15,9 @@
     Ingress,
     PeerServer,
     Script,
-    answers,
     read_answer,
     request,
+    respond_with,
     send_first,
 )
 
@@ -26,7 +26,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     health_check = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(respond_with(OK)).start()
     ingress = Ingress(Script(send_first))
     await ingress.start()
     endpoint = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
@@ -46,7 +46,7 @@
     async with asyncio.timeout(10):
         assert await idle.read() == b""  # long before the regular idle timeout
     assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 503 ")
-    server.heard = answers(OK)
+    server.heard = respond_with(OK)
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.heard(server.peers[0])
     first, second = await read_answer(busy), await read_answer(busy)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_ingress.net.event_log import EventLog
-from tests.net_helpers import HOST, OK, PeerServer, answers, request
+from tests.net_helpers import HOST, OK, PeerServer, request, respond_with
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 RECORDED = Path(__file__).parent / "data" / "event_log.txt"
@@ -71,7 +71,7 @@
 
 
 async def test_a_process_logs_how_each_request_ended(tmp_path: Path) -> None:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(respond_with(OK)).start()
     backend = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
     known = {"index": 1, "snapshot": True, "endpoints": [backend]}
     (tmp_path / "config.json").write_text(json.dumps(config_document(known=known)))
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -17,10 +17,10 @@
     OK,
     Ingress,
     PeerServer,
-    answers,
-    asked,
     read_answer,
+    received_request_ids,
     request,
+    respond_with,
 )
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
@@ -69,7 +69,7 @@
 ) -> None:
     """They are connected and have sent requests; closing the listening socket first would reset them."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.0)
-    backend.heard = answers(OK)
+    backend.heard = respond_with(OK)
     ingress.listener.pause_accepting()
     waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
     for _ in range(3):  # connecting and sending take one loop iteration each
@@ -89,7 +89,7 @@
     while not ingress.listener.connections:
         await asyncio.sleep(0)
     open_request = asyncio.create_task(ingress.ask(request("r0")))
-    await backend.until(lambda: asked(backend) == [b"r0"])
+    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
     ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     ingress.engine.fail_all()
@@ -97,7 +97,7 @@
     writer.write(request("r1"))
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Connection: close\r\n" in answer
-    assert asked(backend) == [b"r0"]
+    assert received_request_ids(backend) == [b"r0"]
     writer.close()
 
 
@@ -133,7 +133,7 @@
     port = await asyncio.to_thread(listening_port, process)
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(request("r0", "order", "4000m"))
-    await server.until(lambda: asked(server) == [b"r0"])
+    await server.until(lambda: received_request_ids(server) == [b"r0"])
     idle, idle_writer = await asyncio.open_connection(HOST, port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -12,9 +12,9 @@
     OK,
     Ingress,
     PeerServer,
-    answers,
     read_answer,
     request,
+    respond_with,
 )
 
 pytestmark = pytest.mark.usefixtures("backend_answers")
@@ -32,7 +32,7 @@
     ingress.listener.begin_shutdown()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
-    backend.heard = answers(OK)
+    backend.heard = respond_with(OK)
     new_answer = await ingress.ask(request("late"))
     backend.peers[0].transport.write(OK)
     for answer in (new_answer, await open_request):
--- a/tests/test_message_reader.py
+++ b/tests/test_message_reader.py
@@ -9,9 +9,9 @@
 from quota_ingress.policy.events import RequestArrived
 from tests.net_helpers import (
     OK,
-    answers,
     read_answer,
     request,
+    respond_with,
 )
 from tests.support.streaming import IngressAndBackend, save
 
@@ -72,7 +72,7 @@
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 ") and b"Content-Length: 500000\r\n" in head
-    pair.server.heard = answers(OK)
+    pair.server.heard = respond_with(OK)
     writer.write(request("h2"))
     assert (await read_answer(reader)).endswith(b"warm")
     assert len(pair.server.peers) == 2  # a connection is not reused after a response to HEAD
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 import signal
 from pathlib import Path
 
-from tests.net_helpers import HOST, OK, PeerServer, answers, request
+from tests.net_helpers import HOST, OK, PeerServer, request, respond_with
 from tests.process_helpers import (
     answer_as_counter,
     answer_as_discovery,
@@ -38,7 +38,7 @@
 
 
 async def test_sighup_changes_discovery_and_counter_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
+    servers = [await PeerServer(respond_with(OK)).start() for _ in range(2)]
     addresses = [f"{HOST}:{server.port}" for server in servers]
     listed = [{"name": a, "address": a, "status": "up"} for a in addresses]
     agents = [
--- a/tests/test_retry_races.py
+++ b/tests/test_retry_races.py
@@ -20,9 +20,9 @@
     Ingress,
     Peer,
     PeerServer,
-    answers,
-    asked,
+    received_request_ids,
     request,
+    respond_with,
 )
 
 
@@ -73,11 +73,11 @@
     draining = int(chosen[0][-1])
     statuses = ["up", "up"]
     statuses[draining] = "draining"
-    servers[1 - draining].heard = answers(OK)
+    servers[1 - draining].heard = respond_with(OK)
     may_connect.set()
     ingress.engine.update_endpoints(list_of(servers, *statuses))
     assert (await response).endswith(b"warm")
-    assert asked(servers[draining]) == [] and len(servers[1 - draining].peers) == 1
+    assert received_request_ids(servers[draining]) == [] and len(servers[1 - draining].peers) == 1
     assert chosen == [f"s-{draining}", f"s-{1 - draining}"]
 
 
@@ -87,7 +87,7 @@
     """Idle connections are reused, and the backend resets them when it receives the next request."""
     ingress, servers = ingress_and_backends
     for server in servers:
-        server.heard = answers(OK)
+        server.heard = respond_with(OK)
     for number in range(4):
         assert (await ingress.ask(request(f"k{number}"))).endswith(b"warm")
     for server in servers:
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -15,9 +15,9 @@
     OK,
     Peer,
     Script,
-    answers,
     read_answer,
     request,
+    respond_with,
     send_first,
 )
 from tests.support.fake_network import FakeNetwork, sender
@@ -39,7 +39,7 @@
     (started,) = pair.ingress.script.of(StreamStarted)
     (ended,) = await pair.ingress.script.seen(AttemptEnded)
     assert started.request == 1 and ended.outcome is Outcome.OK and ended.request_ended
-    pair.server.heard = answers(OK)
+    pair.server.heard = respond_with(OK)
     peer.data = b""
     writer.write(request("a2"))
     assert (await read_answer(reader)).endswith(b"warm")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,7 +14,7 @@
 import pytest_asyncio
 
 from ingress_testbed.faults import SHORT, Call, Faults, build
-from tests.net_helpers import HOST, OK, RAW, PeerServer, answers, request
+from tests.net_helpers import HOST, OK, RAW, PeerServer, request, respond_with
 from tests.process_helpers import config_document, fetch, listening_port, start_ingress
 
 REQUEST_COUNT = 60
@@ -39,7 +39,7 @@
 
 @pytest_asyncio.fixture
 async def backend() -> AsyncIterator[PeerServer]:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(respond_with(OK)).start()
     yield server
     server.stop()
 
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -27,9 +27,9 @@
     RAW,
     Peer,
     PeerServer,
-    answers,
     read_answer,
     request,
+    respond_with,
 )
 from tests.process_helpers import SharedListener, config_document, fetch, kill, stop_orderly
 from tests.support.upgrade import RecordingParticipant
@@ -81,7 +81,7 @@
                 added.append((int(line.split()[1], 16), time.time()))
             peer.transport.write(b"ok 1\r\n" if line.startswith(b"add ") else b"pong\r\n")
 
-    server, counter = await PeerServer(answers(OK)).start(), await PeerServer(answer_and_record).start()
+    server, counter = await PeerServer(respond_with(OK)).start(), await PeerServer(answer_and_record).start()
     faults = Faults(build(tmp_path), tmp_path / "faults")
     path = tmp_path / "config.json"
     listed = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
@@ -109,7 +109,7 @@
     tmp_path: Path,
 ) -> None:
     """Discovery leaves the new process's watch unanswered, and sends deltas to the old process only."""
-    servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
+    servers = [await PeerServer(respond_with(OK)).start() for _ in range(2)]
     watches: list[Peer] = []
 
     def answer_first_watch(peer: Peer) -> None:
@@ -221,7 +221,7 @@
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
     assert await operators_call(new_admin, "GET /control/ready") == 200
-    server.heard = answers(OK)
+    server.heard = respond_with(OK)
     for number in range(4):  # s-2, were it not banned, would refuse them; the old process accepts none
         answer = await fetch(shared.port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -9,7 +9,7 @@
 
 from quota_ingress.net.engine.ports import AttemptResult
 from quota_ingress.policy.events import Outcome
-from tests.net_helpers import HOST, answers
+from tests.net_helpers import HOST, respond_with
 from tests.support.upstream import PooledBackend
 
 
@@ -27,7 +27,7 @@
     ],
 )
 async def test_outcomes_of_responses(pooled: PooledBackend, reply: bytes, outcome: Outcome) -> None:
-    pooled.server.heard = answers(reply)
+    pooled.server.heard = respond_with(reply)
     assert await pooled.outcome() is outcome
 
 
@@ -113,7 +113,7 @@
 
 
 async def test_a_response_too_long_to_buffer_fails_at_its_head(pooled: PooledBackend) -> None:
-    pooled.server.heard = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
+    pooled.server.heard = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
     assert await pooled.outcome() is Outcome.ERROR  # before any byte of the body
 
 
@@ -128,5 +128,5 @@
     ],
 )
 async def test_a_malformed_response_head_ends_as_error(pooled: PooledBackend, head: bytes) -> None:
-    pooled.server.heard = answers(b"HTTP/1.1 200 OK\r\n%b\r\n\r\nwarm" % head)
+    pooled.server.heard = respond_with(b"HTTP/1.1 200 OK\r\n%b\r\n\r\nwarm" % head)
     assert await pooled.outcome() is Outcome.ERROR  # may have run; RESET would mean that it is down
