--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -74,7 +74,7 @@
 @pytest.fixture
 def backend_answers(backend: PeerServer) -> None:
     """The backend answers each request with OK."""
-    backend.heard = respond_with(OK)
+    backend.on_data = respond_with(OK)
 
 
 @pytest_asyncio.fixture
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -125,7 +125,7 @@
 
 
 class Peer(asyncio.Protocol):
-    """One connection to a pretended backend or counter: `heard` is called with what has come so far."""
+    """One connection to a pretended backend or counter: `on_data` is called with what has come so far."""
 
     def __init__(self, server: PeerServer) -> None:
         self.server, self.data = server, b""
@@ -138,7 +138,7 @@
     def data_received(self, data: bytes) -> None:
         self.data += data
         self.server.changed.set()
-        self.server.heard(self)
+        self.server.on_data(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.closed.append(self)
@@ -146,11 +146,11 @@
 
 
 class PeerServer:
-    def __init__(self, heard: Callable[[Peer], None] = lambda peer: None) -> None:
-        self.heard = heard
+    def __init__(self, on_data: Callable[[Peer], None] = lambda peer: None) -> None:
+        self.on_data = on_data
         self.peers: list[Peer] = []
         self.closed: list[Peer] = []
-        self.watched: list[bytes] = []  # for the test's own `heard` to fill in
+        self.watched: list[bytes] = []  # for the test's own `on_data` to fill in
         self.added: list[bytes] = []
         self.changed = asyncio.Event()
         self.port = 0
@@ -176,12 +176,12 @@
 def respond_with(reply: bytes) -> Callable[[Peer], None]:
     """Answers each whole request (these have no body) on a connection with `reply`."""
 
-    def heard(peer: Peer) -> None:
+    def on_data(peer: Peer) -> None:
         while b"\r\n\r\n" in peer.data:
             _, _, peer.data = peer.data.partition(b"\r\n\r\n")
             peer.transport.write(reply)
 
-    return heard
+    return on_data
 
 
 OK = b"HTTP/1.1 200 OK\r\nServer-Load: queue=3\r\nContent-Length: 4\r\n\r\nwarm"
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -99,7 +99,7 @@
 def answer_as_discovery(index: int, *backends: dict[str, Any]) -> Callable[[Peer], None]:
     """Gives the whole list to whoever asks for it, and to a watch that names no version of this one's."""
 
-    def heard(peer: Peer) -> None:
+    def on_data(peer: Peer) -> None:
         while b"\r\n\r\n" in peer.data:
             head, _, peer.data = peer.data.partition(b"\r\n\r\n")
             body = json.dumps({"index": index, "snapshot": True, "endpoints": backends}).encode()
@@ -112,7 +112,7 @@
                 peer.transport.write(b"%x\r\n%b\n\r\n" % (len(body) + 1, body))
             peer.server.changed.set()
 
-    return heard
+    return on_data
 
 
 def answer_as_counter(peer: Peer) -> None:
--- a/tests/support/streaming.py
+++ b/tests/support/streaming.py
@@ -41,8 +41,8 @@
         writer.write(data)
         return reader, writer
 
-    async def heard(self, what: bytes = b"\r\n\r\n") -> Peer:
-        await self.server.until(lambda: bool(self.server.peers) and what in self.server.peers[-1].data)
+    async def wait_for_data(self, expected: bytes = b"\r\n\r\n") -> Peer:
+        await self.server.until(lambda: bool(self.server.peers) and expected in self.server.peers[-1].data)
         return self.server.peers[-1]
 
     @property
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -173,7 +173,7 @@
     size = 1_000_000
     head = request("r0", "save", Idempotency_Key="k").replace(b"Length: 0", b"Length: %d" % size)
     backend._server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    backend.heard = lambda peer: peer.transport.pause_reading()
+    backend.on_data = lambda peer: peer.transport.pause_reading()
     client = await asyncio.to_thread(connect_client, ingress, head + bytes(size))
     await ingress.script.seen(RequestArrived)
     await backend.until(lambda: bool(backend.peers))
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -70,9 +70,9 @@
     ingress: Ingress, backend: PeerServer, no_reuse_delay: None
 ) -> None:
     """The request is read before the end of the stream, and an idle backend connection is available."""
-    backend.heard = respond_with(OK)
+    backend.on_data = respond_with(OK)
     await ingress.ask(request("k0"))
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -77,7 +77,7 @@
     pooled: PooledBackend, no_reuse_delay: None
 ) -> None:
     assert await pooled.outcome() is Outcome.OK
-    pooled.server.heard = lambda peer: None
+    pooled.server.on_data = lambda peer: None
     written, unwritten = pooled.send(), pooled.send()
     await pooled.server.until(lambda: b"\r\n\r\n" in pooled.server.peers[0].data)
     third = pooled.send()
@@ -103,9 +103,9 @@
 
 async def test_a_connection_with_unsolicited_data_is_not_reused(pooled: PooledBackend) -> None:
     """The start of a second response after the first would corrupt the response to the next request."""
-    pooled.server.heard = respond_with(OK + b"HTTP/1.1 2")
+    pooled.server.on_data = respond_with(OK + b"HTTP/1.1 2")
     assert await pooled.outcome() is Outcome.OK
-    pooled.server.heard = respond_with(OK)
+    pooled.server.on_data = respond_with(OK)
     assert await pooled.outcome() is Outcome.OK
     assert len(pooled.server.peers) == 2
 
@@ -115,11 +115,11 @@
 
     The next request was sent on that connection and got the duplicate.
     """
-    pooled.server.heard = respond_with(OK + OK)
+    pooled.server.on_data = respond_with(OK + OK)
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
     def send_next(answer: AttemptResult) -> None:
-        pooled.server.heard = respond_with(OK.replace(b"warm", b"mine"))
+        pooled.server.on_data = respond_with(OK.replace(b"warm", b"mine"))
         pooled.backends.send(1, REQUEST, done.set_result)
 
     pooled.backends.send(1, REQUEST, send_next)
@@ -130,7 +130,7 @@
 
 async def test_connections_never_exceed_the_descriptor_share(pooled: PooledBackend) -> None:
     pooled.sockets.limit = 2
-    pooled.server.heard = lambda peer: None
+    pooled.server.on_data = lambda peer: None
     unanswered = [pooled.send() for _ in range(2)]
     assert (await pooled.send()).outcome is Outcome.CONNECT_FAILED
     assert not any(attempt.done() for attempt in unanswered)
@@ -140,7 +140,7 @@
     pooled: PooledBackend, no_reuse_delay: None
 ) -> None:
     """After a reset at the next request, only an idempotent request can be sent again."""
-    pooled.server.heard = answers_once
+    pooled.server.on_data = answers_once
     outcomes = [await pooled.outcome() for _ in range(6)]
     assert outcomes == [Outcome.OK, Outcome.RESET] * 3  # idempotent requests still reuse connections
     for _ in range(4):
@@ -194,7 +194,7 @@
 
 
 async def test_a_connection_is_reused_after_the_reuse_delay(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = respond_with(OK)
+    backend.on_data = respond_with(OK)
     assert (await ingress.ask(request("r0"))).endswith(b"warm")
     (pool,) = ingress.backends._pools.values()
     pool.now = lambda: asyncio.get_running_loop().time() + 1.0
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -84,7 +84,7 @@
     calls.add("late")
     await received_adds(server, 1)
     assert await calls.answered(1) == [("late", Outcome.TIMEOUT, 0.0)]
-    server.heard = lambda peer: peer.transport.write(b"ok 5\r\nok 6\r\n")
+    server.on_data = lambda peer: peer.transport.write(b"ok 5\r\nok 6\r\n")
     calls.add("next")
     assert (await calls.answered(2))[1] == ("next", Outcome.OK, 6.0)
     calls.counter.stop()
@@ -148,7 +148,7 @@
     calls = RecordedCalls(server, 200_000)
     await calls.connect()
     loop = asyncio.get_running_loop()
-    server.heard = lambda peer: loop.call_later(0.3, peer.transport.write, b"ok 5\r\n") and None
+    server.on_data = lambda peer: loop.call_later(0.3, peer.transport.write, b"ok 5\r\n") and None
     calls.add("late")
     assert await calls.answered(1) == [("late", Outcome.OK, 5.0)]
     calls.counter.stop()
@@ -179,7 +179,7 @@
     calls.add("stuck", name=1)
     await received_adds(server, 1)
     (stuck,) = [p for p in server.peers if b"add" in p.data]
-    server.heard = lambda peer: None if peer is stuck else peer.transport.write(b"ok 5\r\n")
+    server.on_data = lambda peer: None if peer is stuck else peer.transport.write(b"ok 5\r\n")
     calls.add("later", name=2)
     assert await calls.answered(2) == [("later", Outcome.OK, 5.0), ("stuck", Outcome.RESET, 0.0)]
     await server.until(lambda: stuck in server.closed and len(server.peers) == 3)
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -29,7 +29,7 @@
 
 
 async def test_a_request_is_served_and_reaches_the_policy(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     task = asyncio.create_task(ingress.ask(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1")))
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     forwarded = backend.peers[0].data
@@ -52,7 +52,7 @@
 async def test_a_keyed_request_is_forwarded_with_its_idempotency_key(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     body = b"\x00\r\n\r\n\xff" * 30
     data = request(cls="save", Idempotency_Key="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     data = data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
@@ -86,7 +86,7 @@
 
 
 async def test_a_duplicate_request_id_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     first = asyncio.create_task(ingress.ask(request("same")))
     await ingress.script.seen(RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
@@ -107,7 +107,7 @@
 
 
 async def test_a_client_disconnect_cancels_the_attempt(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     script = ingress.script
     cancel = [CancelAttempt(1, 0)]
     script.rule = lambda event: cancel if isinstance(event, ClientDisconnected) else send_first(event)
@@ -162,7 +162,7 @@
 async def test_unread_responses_are_bounded_and_then_the_connection_is_closed(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    backend.heard = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000)
+    backend.on_data = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000)
     monkeypatch.setattr(timeouts_module, "UNREAD_TIMEOUT_S", 1000.0)
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.transport.pause_reading()
@@ -213,7 +213,7 @@
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """Guards against closing a socket that holds an unread request, which resets the connection."""
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
@@ -228,7 +228,7 @@
         original_respond(answer)  # type: ignore[arg-type]
 
     connection.respond = respond_after_next_request  # type: ignore[method-assign, assignment]
-    backend.heard = respond_with(OK)
+    backend.on_data = respond_with(OK)
     backend.peers[0].transport.write(OK)
     assert await read_statuses(reader, 2) == [b"200"] * 2
     assert await reader.read() == b""
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -37,7 +37,7 @@
     idle_writer.write(health_check)
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
     busy, busy_writer = await asyncio.open_connection(HOST, ingress.port)
-    server.heard = lambda peer: None
+    server.on_data = lambda peer: None
     busy_writer.write(request("r1") + request("r2"))
     await ingress.script.seen(RequestArrived)
     monkeypatch.setattr(timeouts_module, "DRAINING_IDLE_TIMEOUT_S", 0.0)
@@ -46,9 +46,9 @@
     async with asyncio.timeout(10):
         assert await idle.read() == b""  # long before the regular idle timeout
     assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 503 ")
-    server.heard = respond_with(OK)
+    server.on_data = respond_with(OK)
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
-    server.heard(server.peers[0])
+    server.on_data(server.peers[0])
     first, second = await read_answer(busy), await read_answer(busy)
     assert first.startswith(b"HTTP/1.1 200 ") and second.startswith(b"HTTP/1.1 200 ")
     assert b"Connection: close" in second and await busy.read() == b""
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -69,7 +69,7 @@
 ) -> None:
     """They are connected and have sent requests; closing the listening socket first would reset them."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.0)
-    backend.heard = respond_with(OK)
+    backend.on_data = respond_with(OK)
     ingress.listener.pause_accepting()
     waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
     for _ in range(3):  # connecting and sending take one loop iteration each
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -23,7 +23,7 @@
 async def test_draining_closes_idle_connections_and_finishes_open_requests(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
@@ -32,7 +32,7 @@
     ingress.listener.begin_shutdown()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
-    backend.heard = respond_with(OK)
+    backend.on_data = respond_with(OK)
     new_answer = await ingress.ask(request("late"))
     backend.peers[0].transport.write(OK)
     for answer in (new_answer, await open_request):
--- a/tests/test_message_reader.py
+++ b/tests/test_message_reader.py
@@ -19,11 +19,11 @@
 async def test_chunk_extensions_and_trailers_of_a_request_are_not_forwarded(pair: IngressAndBackend) -> None:
     data = b'3;a=b\r\nabc\r\n004;c="d;e"\r\ndefg\r\n0\r\nX-Plan: tin\r\nX-More: y\r\n\r\n'
     reader, writer = await pair.connect(save("Transfer-Encoding: chunked") + data + request("b2"))
-    peer = await pair.heard(b"abcdefg")
+    peer = await pair.wait_for_data(b"abcdefg")
     assert b"\r\nContent-Length: 7\r\n" in peer.data and peer.data.endswith(b"\r\n\r\nabcdefg")
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
-    await pair.heard(b"Request-Id: b2")  # the bytes after the trailer are the next request
+    await pair.wait_for_data(b"Request-Id: b2")  # the bytes after the trailer are the next request
     writer.close()
 
 
@@ -36,7 +36,7 @@
     head = b" \t\r\n".join(line for line in lines if b"chunked" not in line)
     head = first + b"\r\nTransfer-Encoding: chunked \r\n" + head + b" \t\r\n\r\n"
     reader, writer = await pair.connect(head + b"4\r\nfour\r\n0\r\n\r\n")
-    peer = await pair.heard(b"four")
+    peer = await pair.wait_for_data(b"four")
     assert b"\r\nRequest-Id: a1\r\n" in peer.data
     peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n4\r\nwarm\r\n0\r\n\r\n")
     assert (await read_answer(reader)).endswith(b"warm")
@@ -48,7 +48,7 @@
     async with asyncio.timeout(10):
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
     writer.write(b"four")
-    peer = await pair.heard(b"four")
+    peer = await pair.wait_for_data(b"four")
     assert b"Expect" not in peer.data
     peer.transport.write(OK)
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
@@ -66,13 +66,13 @@
 
 async def test_a_response_to_head_has_no_body(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(request("h1").replace(b"GET", b"HEAD"))
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     assert peer.data.startswith(b"HEAD /read/x?y=1 HTTP/1.1\r\n")
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n")
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 ") and b"Content-Length: 500000\r\n" in head
-    pair.server.heard = respond_with(OK)
+    pair.server.on_data = respond_with(OK)
     writer.write(request("h2"))
     assert (await read_answer(reader)).endswith(b"warm")
     assert len(pair.server.peers) == 2  # a connection is not reused after a response to HEAD
@@ -82,16 +82,16 @@
 async def test_an_upgrade_request_is_ignored_and_its_body_forwarded(pair: IngressAndBackend) -> None:
     upgrade = {"Connection": "Upgrade", "Upgrade": "h2c"}
     reader, writer = await pair.connect(save("Content-Length: 4", **upgrade) + b"four" + request("b2"))
-    peer = await pair.heard(b"four")
+    peer = await pair.wait_for_data(b"four")
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
-    await pair.heard(b"Request-Id: b2")
+    await pair.wait_for_data(b"Request-Id: b2")
     writer.close()
 
 
 async def test_the_absolute_form_is_forwarded_as_a_path(pair: IngressAndBackend) -> None:
     _, writer = await pair.connect(request().replace(b"GET /", b"GET http://app.svc/"))
-    assert (await pair.heard()).data.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n")
+    assert (await pair.wait_for_data()).data.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n")
     writer.close()
 
 
--- a/tests/test_retry_races.py
+++ b/tests/test_retry_races.py
@@ -73,7 +73,7 @@
     draining = int(chosen[0][-1])
     statuses = ["up", "up"]
     statuses[draining] = "draining"
-    servers[1 - draining].heard = respond_with(OK)
+    servers[1 - draining].on_data = respond_with(OK)
     may_connect.set()
     ingress.engine.update_endpoints(list_of(servers, *statuses))
     assert (await response).endswith(b"warm")
@@ -87,11 +87,11 @@
     """Idle connections are reused, and the backend resets them when it receives the next request."""
     ingress, servers = ingress_and_backends
     for server in servers:
-        server.heard = respond_with(OK)
+        server.on_data = respond_with(OK)
     for number in range(4):
         assert (await ingress.ask(request(f"k{number}"))).endswith(b"warm")
     for server in servers:
-        server.heard = lambda peer: peer.transport.abort()
+        server.on_data = lambda peer: peer.transport.abort()
     response = await ingress.ask(request("u0", "order"))
     assert response.startswith(b"HTTP/1.1 502 ")
     assert sum(server.peers[n].data.count(b"u0") for server in servers for n in range(len(server.peers))) == 1
@@ -105,5 +105,5 @@
             peer.transport.abort()
 
     for server in servers:
-        server.heard = reset_first_connection
+        server.on_data = reset_first_connection
     assert (await ingress.ask(request("s0", Cookie=f"customer={8:016x}"))).endswith(b"warm")
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -28,7 +28,7 @@
     pair: IngressAndBackend, no_reuse_delay: None
 ) -> None:
     reader, writer = await pair.connect(request("a1"))
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n" + MEGABYTE[:1000])
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
@@ -39,7 +39,7 @@
     (started,) = pair.ingress.script.of(StreamStarted)
     (ended,) = await pair.ingress.script.seen(AttemptEnded)
     assert started.request == 1 and ended.outcome is Outcome.OK and ended.request_ended
-    pair.server.heard = respond_with(OK)
+    pair.server.on_data = respond_with(OK)
     peer.data = b""
     writer.write(request("a2"))
     assert (await read_answer(reader)).endswith(b"warm")
@@ -52,7 +52,7 @@
     pair: IngressAndBackend, ending: str
 ) -> None:
     reader, writer = await pair.connect(request())
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     if ending == "chunks":
         peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for offset in range(0, len(MEGABYTE), 100_000):
@@ -70,7 +70,7 @@
 
 async def test_an_http_1_0_client_gets_no_chunks(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     peer.transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + MEGABYTE)
     peer.transport.close()
     async with asyncio.timeout(10):
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: 1048576", b"Transfer-Encoding: chunked"])
 async def test_clients_can_detect_a_truncated_response(pair: IngressAndBackend, framing: bytes) -> None:
     reader, writer = await pair.connect(request())
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     part = MEGABYTE[:300_000]
     data = part if b"Length" in framing else b"%x\r\n%b\r\n" % (len(part), part)
     peer.transport.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing, data))
@@ -102,7 +102,7 @@
 ) -> None:
     reader, writer = await pair.connect(request())
     writer.transport.pause_reading()
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * len(MEGABYTE)))
     for _ in range(16):
         peer.transport.write(MEGABYTE)
@@ -124,7 +124,7 @@
 
 async def test_a_disconnect_during_a_response_ends_the_attempt(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(request())
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n" + MEGABYTE[:200_000])
     await reader.readuntil(b"\r\n\r\n")
     writer.transport.abort()
@@ -145,12 +145,12 @@
     def pause_reading(peer: Peer) -> None:
         peer.transport.pause_reading()
 
-    pair.server.heard = pause_reading
+    pair.server.on_data = pause_reading
     for offset in range(0, len(body), 200_000):
         part = body[offset : offset + 200_000]
         writer.write(b"%x\r\n%b\r\n" % (len(part), part) if chunked else part)
     writer.write(b"0\r\n\r\n" if chunked else b"")
-    peer = await pair.heard()
+    peer = await pair.wait_for_data()
     async with asyncio.timeout(10):
         for _ in range(300):
             await asyncio.sleep(0)
@@ -158,7 +158,7 @@
         pair.memory_budget.used < MAX_BUFFERED_REQUEST_BYTES + 8 * BODY_BUFFER_BYTES
         and len(peer.data) < len(body) // 2
     )
-    pair.server.heard = lambda peer: None
+    pair.server.on_data = lambda peer: None
     peer.transport.resume_reading()
     final_bytes = b"\r\n0\r\n\r\n" if chunked else body[-1000:]
     async with asyncio.timeout(20):
@@ -187,7 +187,7 @@
         if peer.data.endswith(body):
             peer.transport.write(OK) if len(pair.server.peers) == 2 else peer.transport.abort()
 
-    script.rule, pair.server.heard = retry_after_reset, respond_or_reset
+    script.rule, pair.server.on_data = retry_after_reset, respond_or_reset
     reader, writer = await pair.connect(save(f"Content-Length: {len(body)}") + body)
     assert (await read_answer(reader)).endswith(b"warm")
     assert all(peer.data.endswith(b"\r\n\r\n" + body) for peer in pair.server.peers)
@@ -201,7 +201,7 @@
         return [SendAttempt(1, 1, 0)] if isinstance(event, AttemptEnded) else send_first(event)
 
     pair.ingress.script.rule = retry_until_not_sent
-    pair.server.heard = lambda peer: (
+    pair.server.on_data = lambda peer: (
         peer.transport.abort() if len(peer.data) > MAX_BUFFERED_REQUEST_BYTES else None
     )
     reader, writer = await pair.connect(save(f"Content-Length: {8 * len(MEGABYTE)}"))
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -88,7 +88,7 @@
     reader, writer = await pair.connect(save(f"Content-Length: {4 * len(MEGABYTE)}"))
     writer.write(MEGABYTE + MEGABYTE)
     await pair.ingress.script.seen(RequestArrived)
-    await pair.heard(MEGABYTE)
+    await pair.wait_for_data(MEGABYTE)
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", -1000.0)
     pair.ingress.listener._sweep()
     answer = await read_answer(reader)
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -221,11 +221,11 @@
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
     assert await operators_call(new_admin, "GET /control/ready") == 200
-    server.heard = respond_with(OK)
+    server.on_data = respond_with(OK)
     for number in range(4):  # s-2, were it not banned, would refuse them; the old process accepts none
         answer = await fetch(shared.port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
-    server.heard(server.peers[0])
+    server.on_data(server.peers[0])
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
     writer.close()
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -27,7 +27,7 @@
     ],
 )
 async def test_outcomes_of_responses(pooled: PooledBackend, reply: bytes, outcome: Outcome) -> None:
-    pooled.server.heard = respond_with(reply)
+    pooled.server.on_data = respond_with(reply)
     assert await pooled.outcome() is outcome
 
 
@@ -46,7 +46,7 @@
         pooled.server.peers[0].transport.write(reply)
         pooled.server.peers[0].transport.close()
 
-    pooled.server.heard = respond_and_close
+    pooled.server.on_data = respond_and_close
     assert await pooled.outcome() is outcome
 
 
@@ -86,7 +86,7 @@
 
 async def test_aborting_closes_the_connection_before_anything_else_is_sent(pooled: PooledBackend) -> None:
     received: list[int] = []
-    pooled.server.heard = lambda peer: received.append(len(pooled.server.peers))
+    pooled.server.on_data = lambda peer: received.append(len(pooled.server.peers))
     pooled.send()
     await pooled.server.until(lambda: len(received) == 1)
     (connection,) = pooled.backends._pools[1].busy
@@ -106,14 +106,14 @@
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     pooled.backends.probe(1, done.set_result)
     assert (await done).outcome is Outcome.OK
-    pooled.server.heard = lambda peer: None
+    pooled.server.on_data = lambda peer: None
     unanswered: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     pooled.backends.probe(1, unanswered.set_result)
     assert (await unanswered).outcome is Outcome.TIMEOUT
 
 
 async def test_a_response_too_long_to_buffer_fails_at_its_head(pooled: PooledBackend) -> None:
-    pooled.server.heard = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
+    pooled.server.on_data = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
     assert await pooled.outcome() is Outcome.ERROR  # before any byte of the body
 
 
@@ -128,5 +128,5 @@
     ],
 )
 async def test_a_malformed_response_head_ends_as_error(pooled: PooledBackend, head: bytes) -> None:
-    pooled.server.heard = respond_with(b"HTTP/1.1 200 OK\r\n%b\r\n\r\nwarm" % head)
+    pooled.server.on_data = respond_with(b"HTTP/1.1 200 OK\r\n%b\r\n\r\nwarm" % head)
     assert await pooled.outcome() is Outcome.ERROR  # may have run; RESET would mean that it is down
