--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -91,15 +91,15 @@
         self.changed.set()
         return self.rule(event)
 
-    def of(self, kind: type) -> list[Any]:
+    def events_of_type(self, kind: type) -> list[Any]:
         return [e for e in self.events if isinstance(e, kind)]
 
-    async def seen(self, kind: type, count: int = 1) -> list[Any]:
+    async def wait_for_events(self, kind: type, count: int = 1) -> list[Any]:
         async with asyncio.timeout(10):
-            while len(self.of(kind)) < count:
+            while len(self.events_of_type(kind)) < count:
                 self.changed.clear()
                 await self.changed.wait()
-        return self.of(kind)
+        return self.events_of_type(kind)
 
 
 def overrides_of_own_directory(
--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -84,7 +84,7 @@
     async with asyncio.timeout(5):
         await reader.readuntil(b"warm")
         assert (await reader.readuntil(b"\r\n")).split()[1] in (b"429", b"504")
-    assert len(ingress.script.of(RequestArrived)) == 1
+    assert len(ingress.script.events_of_type(RequestArrived)) == 1
     writer.close()
 
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -92,11 +92,15 @@
         if isinstance(event, RequestArrived):
             first = AddToCounter(5, 1.0, 1_000_000) if "counter" in trigger else SendAttempt(1, 1, 0)
             return [first] if event.request == 1 else []
-        return [SendAttempt(1, 1, 0)] if isinstance(event, kind) and len(ingress.script.of(kind)) == 1 else []
+        return (
+            [SendAttempt(1, 1, 0)]
+            if isinstance(event, kind) and len(ingress.script.events_of_type(kind)) == 1
+            else []
+        )
 
     ingress.script.rule = rule
     client = connect_client(ingress, data)
-    await ingress.script.seen(RequestArrived)
+    await ingress.script.wait_for_events(RequestArrived)
     ids_before = [] if "counter" in trigger else [b"r0"]
     await backend.until(lambda: received_request_ids(backend) == ids_before)
     if data is MANY:
@@ -114,8 +118,8 @@
     else:
         next(iter(pool.busy)).fail_exchange(UpstreamCloseReason.STALLED)
     assert not pool.dials and not pool.busy  # in the same loop iteration
-    assert ingress.script.of(ClientDisconnected)
-    (unsent,) = [e for e in ingress.script.of(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
+    assert ingress.script.events_of_type(ClientDisconnected)
+    (unsent,) = [e for e in ingress.script.events_of_type(AttemptEnded) if e.outcome is Outcome.NOT_SENT]
     assert unsent.request_ended and received_request_ids(backend) == ids_before
 
 
@@ -147,8 +151,12 @@
         disconnect(client, close_type)
         connect_allowed.set()
         await dial_done.wait()
-    (ended,) = ingress.script.of(AttemptEnded)
-    assert ended.outcome is Outcome.NOT_SENT and ended.request_ended and ingress.script.of(ClientDisconnected)
+    (ended,) = ingress.script.events_of_type(AttemptEnded)
+    assert (
+        ended.outcome is Outcome.NOT_SENT
+        and ended.request_ended
+        and ingress.script.events_of_type(ClientDisconnected)
+    )
     await backend.until(lambda: len(backend.closed) == 1)
     assert received_request_ids(backend) == []
 
@@ -175,11 +183,11 @@
     backend._server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     backend.on_data = lambda peer: peer.transport.pause_reading()
     client = await asyncio.to_thread(connect_client, ingress, head + bytes(size))
-    await ingress.script.seen(RequestArrived)
+    await ingress.script.wait_for_events(RequestArrived)
     await backend.until(lambda: bool(backend.peers))
     client.close()
-    await ingress.script.seen(ClientDisconnected)
-    (ended,) = ingress.script.of(AttemptEnded)
+    await ingress.script.wait_for_events(ClientDisconnected)
+    (ended,) = ingress.script.events_of_type(AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT and ended.request_ended
 
 
@@ -194,6 +202,6 @@
     assert connection.transport.get_write_buffer_size()
     client.shutdown(socket.SHUT_WR)
     async with asyncio.timeout(1.0):  # before the sweep ends connections whose client does not read
-        await ingress.script.seen(ClientDisconnected)
+        await ingress.script.wait_for_events(ClientDisconnected)
     assert connection in ingress.listener.connections
     client.close()
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -40,10 +40,12 @@
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
     await disconnect(writer)
-    await ingress.script.seen(ClientDisconnected)
+    await ingress.script.wait_for_events(ClientDisconnected)
     backend.peers[0].transport.write(OK)
-    await ingress.script.seen(AttemptEnded)
-    assert received_request_ids(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
+    await ingress.script.wait_for_events(AttemptEnded)
+    assert (
+        received_request_ids(backend) == [b"r0"] and len(ingress.script.events_of_type(RequestArrived)) == 1
+    )
     assert not ingress.listener.connections
 
 
@@ -63,7 +65,9 @@
     async with asyncio.timeout(10):
         while ingress.listener.connections:
             await asyncio.sleep(0)
-    assert received_request_ids(backend) == [b"r0"] and len(ingress.script.of(RequestArrived)) == 1
+    assert (
+        received_request_ids(backend) == [b"r0"] and len(ingress.script.events_of_type(RequestArrived)) == 1
+    )
 
 
 async def test_a_request_whose_client_disconnected_in_the_accept_queue_is_not_forwarded(
@@ -107,9 +111,9 @@
     writer.write(request("r0"))
     await dialling.wait()
     await disconnect(writer)
-    await ingress.script.seen(ClientDisconnected)
+    await ingress.script.wait_for_events(ClientDisconnected)
     may_connect.set()
-    (ended,) = await ingress.script.seen(AttemptEnded)
+    (ended,) = await ingress.script.wait_for_events(AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT and ended.request_ended
     await asyncio.sleep(0)
     assert received_request_ids(backend) == []
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -37,7 +37,7 @@
     answer = await task
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\nwarm")
     assert forwarded.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n") and b"\r\nRequest-Id: a1\r\n" in forwarded
-    (arrived,) = ingress.script.of(RequestArrived)
+    (arrived,) = ingress.script.events_of_type(RequestArrived)
     assert (arrived.units, arrived.gateway_count, arrived.first_gateway, arrived.is_retry) == (
         1.5,
         3,
@@ -45,7 +45,7 @@
         True,
     )
     assert arrived.customer == 7 and 2_900_000 < arrived.time_left <= 3_000_000
-    (ended,) = ingress.script.of(AttemptEnded)
+    (ended,) = ingress.script.events_of_type(AttemptEnded)
     assert ended.outcome is Outcome.OK and ended.request_ended and ended.load == (3.0,)
 
 
@@ -88,10 +88,10 @@
 async def test_a_duplicate_request_id_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
     first = asyncio.create_task(ingress.ask(request("same")))
-    await ingress.script.seen(RequestArrived)
+    await ingress.script.wait_for_events(RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
     # The close of the second connection does not count as a disconnect of the first request's client.
-    assert not ingress.script.of(ClientDisconnected)
+    assert not ingress.script.events_of_type(ClientDisconnected)
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
@@ -115,7 +115,7 @@
     writer.write(request())
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     writer.close()
-    (ended,) = await script.seen(AttemptEnded)
+    (ended,) = await script.wait_for_events(AttemptEnded)
     assert ended.outcome is Outcome.CANCELLED and ended.request_ended
     await backend.until(lambda: len(backend.closed) == 1)
 
@@ -124,7 +124,7 @@
     ingress.script.rule = lambda event: []
     answer = await ingress.ask(request(timeout="150m"))
     assert answer.startswith(b"HTTP/1.1 504 ")
-    await ingress.script.seen(ClientDisconnected)
+    await ingress.script.wait_for_events(ClientDisconnected)
 
 
 async def test_a_rejection_carries_retry_after_and_excess_requests_never_reach_the_policy(
@@ -135,7 +135,7 @@
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Retry-After: 0.250\r\n" in answer
     ingress.engine.in_flight = 100
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 429 ")
-    assert len(ingress.script.of(RequestArrived)) == 1
+    assert len(ingress.script.events_of_type(RequestArrived)) == 1
     ingress.engine.in_flight = 0
 
 
@@ -154,7 +154,7 @@
     writer.write(b"".join(request(f"p{n}") for n in range(300)))
     for _ in range(300):
         assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
-    arrived = ingress.script.of(RequestArrived)
+    arrived = ingress.script.events_of_type(RequestArrived)
     assert [e.request for e in arrived] == list(range(1, 301))
     writer.close()
 
@@ -173,7 +173,7 @@
             await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
     assert connection.transport.get_write_buffer_size() < 200_000
-    assert len(ingress.script.of(RequestArrived)) < 300
+    assert len(ingress.script.events_of_type(RequestArrived)) < 300
     monkeypatch.setattr(timeouts_module, "UNREAD_TIMEOUT_S", 0.0)
     async with asyncio.timeout(10):
         while ingress.listener.connections:
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -39,7 +39,7 @@
     busy, busy_writer = await asyncio.open_connection(HOST, ingress.port)
     server.on_data = lambda peer: None
     busy_writer.write(request("r1") + request("r2"))
-    await ingress.script.seen(RequestArrived)
+    await ingress.script.wait_for_events(RequestArrived)
     monkeypatch.setattr(timeouts_module, "DRAINING_IDLE_TIMEOUT_S", 0.0)
     monkeypatch.setattr(timeouts_module, "IDLE_TIMEOUT_S", 1000.0)
     ingress.listener.set_out_of_service(True)
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -22,7 +22,7 @@
     network.engine.update_endpoints(
         decode_endpoint_list({"index": 60, "snapshot": False, "endpoints": [relisted]})
     )
-    assert network.script.of(EndpointsListed)[-1].endpoints[0].id == 51
+    assert network.script.events_of_type(EndpointsListed)[-1].endpoints[0].id == 51
 
 
 def test_an_endpoint_has_the_same_hash_key_whenever_it_was_first_listed() -> None:
@@ -32,7 +32,7 @@
         network.engine.update_endpoints(
             decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
         )
-        (event,) = network.script.of(EndpointsListed)
+        (event,) = network.script.events_of_type(EndpointsListed)
         return {name: b.hash_key for name, b in zip(names, event.endpoints, strict=True)}
 
     assert hash_keys(["s-1", "s-2", "s-3"]) == hash_keys(["s-3", "s-1", "s-2"])
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -21,7 +21,7 @@
 
 
 def attempt_results(script: Script) -> list[tuple[int, Outcome, bool]]:
-    return [(e.attempt, e.outcome, e.request_ended) for e in script.of(AttemptEnded)]
+    return [(e.attempt, e.outcome, e.request_ended) for e in script.events_of_type(AttemptEnded)]
 
 
 def test_a_request_that_is_rejected_on_the_counters_answer_is_removed_and_its_id_expires() -> None:
@@ -44,7 +44,7 @@
     network.sent[0].ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
     network.sent[0].ended(AttemptResult(Outcome.RESET))
     assert network.answers == [b"body"] and attempt_results(network.script) == [(0, Outcome.OK, True)]
-    (event,) = network.script.of(AttemptEnded)
+    (event,) = network.script.events_of_type(AttemptEnded)
     assert event.load == (2.0,) and event.latency == 7000
     assert all(t.cancelled for t in network.timers) and network.engine.in_flight == 0
     assert not network.ask()  # the id stays in use for a while after the request has ended
@@ -65,14 +65,14 @@
 def test_time_counts_from_the_requests_receipt_and_attempts_end_before_the_deadline() -> None:
     network = FakeNetwork(Script(sender(timeout=5_000_000)))
     network.ask(timeout=1_000_000, ago=200_000)
-    assert network.script.of(RequestArrived)[0].time_left == 800_000
+    assert network.script.events_of_type(RequestArrived)[0].time_left == 800_000
     assert b"Request-Timeout: 785m\r\n" in network.sent[0].data
     network.pass_time(800_000 - RESPONSE_MARGIN - 1)
     assert not network.sent[0].aborted
     network.pass_time(1)
     assert network.sent[0].aborted and attempt_results(network.script) == [(0, Outcome.TIMEOUT, False)]
     network.pass_time(RESPONSE_MARGIN)
-    assert network.answers == ["late"] and len(network.script.of(ClientDisconnected)) == 1
+    assert network.answers == ["late"] and len(network.script.events_of_type(ClientDisconnected)) == 1
 
 
 def test_a_timeout_of_an_unwritten_attempt_is_reported_as_connect_failed() -> None:
@@ -118,7 +118,7 @@
     )
     assert [type(e) for e in network.script.events[-2:]] == [EndpointsListed, AttemptEnded]
     assert network.removed_endpoints == [1]
-    first, second = network.script.of(EndpointsListed)
+    first, second = network.script.events_of_type(EndpointsListed)
     assert [b.id for b in first.endpoints] == [1, 2] and [b.id for b in second.endpoints] == [2]
     assumed_start = START - age_tolerance(SETTINGS.safety)
     assert first.endpoints[0].started_at == assumed_start and second.kind is ListKind.FULL
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -36,7 +36,7 @@
         _, writer = await asyncio.open_connection(HOST, ingress.port)
         writer.write(request(f"busy{number}"))
         writers.append(writer)
-    await ingress.script.seen(RequestArrived, 4)
+    await ingress.script.wait_for_events(RequestArrived, 4)
     answer = await ingress.ask(request("over"))
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close\r\n" in answer
     assert b"Retry-After: 0.500\r\n" in answer
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -62,10 +62,10 @@
     for number in range(6):
         clients.append(await asyncio.open_connection(HOST, ingress.port))
         clients[-1][1].write(request(f"a{number}"))
-    await ingress.script.seen(RequestArrived, 3)
+    await ingress.script.wait_for_events(RequestArrived, 3)
     assert len(ingress.listener.connections) == 3
     for _, writer in clients[:3]:
         writer.close()
-    assert len(await ingress.script.seen(RequestArrived, 6)) == 6
+    assert len(await ingress.script.wait_for_events(RequestArrived, 6)) == 6
     for _, writer in clients:
         writer.close()
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -58,7 +58,7 @@
 
     @property
     def last_event(self) -> EndpointsListed:
-        return self.script.of(EndpointsListed)[-1]
+        return self.script.events_of_type(EndpointsListed)[-1]
 
     def registered_names(self) -> set[str]:
         return set(self.engine.endpoints.numbers)
@@ -108,7 +108,7 @@
         endpoint_list(endpoint_fields(400, "draining"), version=4, is_snapshot=False)
     )
     assert network.registered_names() == {endpoint_fields(n)["name"] for n in range(300, 1050)}
-    for event in network.script.of(EndpointsListed):
+    for event in network.script.events_of_type(EndpointsListed):
         gateway.handle(0, event)
     assert gateway.endpoints.candidates.keys() == set(network.engine.endpoints.numbers.values())
     assert len(gateway.endpoints.ready) == gateway.endpoints.ready_total == 749
--- a/tests/test_message_reader.py
+++ b/tests/test_message_reader.py
@@ -114,5 +114,5 @@
     reader, writer = await pair.connect(data)
     answer = await read_answer(reader)
     assert answer.split(b" ")[1] == status and b"Connection: close" in answer
-    assert not pair.server.peers and not pair.ingress.script.of(RequestArrived)
+    assert not pair.server.peers and not pair.ingress.script.events_of_type(RequestArrived)
     writer.close()
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -69,7 +69,7 @@
     writer.write(data)
     answer = await read_answer(reader)
     assert answer.split(b" ")[1] == status and b"Connection: close" in answer
-    assert not ingress.script.of(RequestArrived)  # it reaches neither the policy nor a backend
+    assert not ingress.script.events_of_type(RequestArrived)  # it reaches neither the policy nor a backend
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
     assert "Traceback" not in caplog.text
     writer.close()
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -88,7 +88,10 @@
     backend.peers[0].transport.abort()  # the attempt may have run
     assert b" 502 " in await response
     assert sum(b"r0" in peer.data for peer in backend.peers) == 1
-    assert [e.outcome for e in ingress.script.of(AttemptEnded)] == [Outcome.RESET, Outcome.NOT_SENT]
+    assert [e.outcome for e in ingress.script.events_of_type(AttemptEnded)] == [
+        Outcome.RESET,
+        Outcome.NOT_SENT,
+    ]
 
 
 async def test_a_connect_that_is_withdrawn_before_its_task_starts_frees_its_descriptor(
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -81,7 +81,7 @@
         engine.update_endpoints(
             decode_endpoint_list({"index": 1, "snapshot": is_snapshot, "endpoints": entries})
         )
-        return {b.id: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
+        return {b.id: b.started_at for b in script.events_of_type(EndpointsListed)[-1].endpoints}
 
     tolerance = age_tolerance(SETTINGS.safety)
     assert 0 < tolerance < SECOND
@@ -143,13 +143,13 @@
         overrides.apply_list(
             decode_endpoint_list({"index": 1, "snapshot": is_snapshot, "endpoints": entries})
         )
-        return {b.hash_key: b.started_at for b in script.of(EndpointsListed)[-1].endpoints}
+        return {b.hash_key: b.started_at for b in script.events_of_type(EndpointsListed)[-1].endpoints}
 
     update(("a", NOW - 30 * SECOND), ("b", NOW - 40 * SECOND), is_snapshot=True)
     overrides.take_offline("a")
     clock += 20 * SECOND
     assert overrides.put_online("a")
-    assert [b.started_at for b in script.of(EndpointsListed)[-1].endpoints] == [clock]
+    assert [b.started_at for b in script.events_of_type(EndpointsListed)[-1].endpoints] == [clock]
     clock += SECOND
     started = update(("c", NOW + 20 * SECOND), is_snapshot=False)  # reported 1 s after the start
     assert clock - started[hash_key("c")] <= SECOND
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -36,8 +36,8 @@
         assert await reader.readexactly(1000) == MEGABYTE[:1000]  # before the body is complete
         peer.transport.write(MEGABYTE[1000:])
         assert await reader.readexactly(1047576) == MEGABYTE[1000:]
-    (started,) = pair.ingress.script.of(StreamStarted)
-    (ended,) = await pair.ingress.script.seen(AttemptEnded)
+    (started,) = pair.ingress.script.events_of_type(StreamStarted)
+    (ended,) = await pair.ingress.script.wait_for_events(AttemptEnded)
     assert started.request == 1 and ended.outcome is Outcome.OK and ended.request_ended
     pair.server.on_data = respond_with(OK)
     peer.data = b""
@@ -92,7 +92,7 @@
         peer.transport.abort()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
             await (read_chunked(reader) if b"chunked" in framing else reader.readexactly(1048576))
-    (ended,) = await pair.ingress.script.seen(AttemptEnded)
+    (ended,) = await pair.ingress.script.wait_for_events(AttemptEnded)
     assert ended.outcome is Outcome.RESET and pair.memory_budget.used == 0
     writer.close()
 
@@ -128,7 +128,7 @@
     peer.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n" + MEGABYTE[:200_000])
     await reader.readuntil(b"\r\n\r\n")
     writer.transport.abort()
-    (ended,) = await pair.ingress.script.seen(AttemptEnded)
+    (ended,) = await pair.ingress.script.wait_for_events(AttemptEnded)
     assert ended.outcome is Outcome.CANCELLED
     await pair.server.until(lambda: len(pair.server.closed) == 1)
     assert pair.memory_budget.used == 0 and not pair.ingress.engine._requests
@@ -172,7 +172,7 @@
         chunked_reader.feed_data(forwarded_body)
         forwarded_body = await read_chunked(chunked_reader)
     assert forwarded_body == body and pair.memory_budget.used == 0
-    assert len(pair.ingress.script.of(RequestArrived)) == 1
+    assert len(pair.ingress.script.events_of_type(RequestArrived)) == 1
     writer.close()
 
 
@@ -208,7 +208,7 @@
     writer.write(MEGABYTE * 2)
     answer = await read_answer(reader)  # before the whole body has been received
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Connection: close" in answer
-    outcomes = [e.outcome for e in pair.ingress.script.of(AttemptEnded)]
+    outcomes = [e.outcome for e in pair.ingress.script.events_of_type(AttemptEnded)]
     assert outcomes == [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
     writer.write(MEGABYTE)  # discarded, so that no reset loses the response
     async with asyncio.timeout(10):
@@ -230,5 +230,5 @@
     assert not network.sent[0].aborted
     network.pass_time(2_000)
     assert network.sent[0].aborted
-    (ended,) = network.script.of(AttemptEnded)
+    (ended,) = network.script.events_of_type(AttemptEnded)
     assert ended.outcome is Outcome.TIMEOUT and ended.latency == 300_000
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -87,13 +87,13 @@
 ) -> None:
     reader, writer = await pair.connect(save(f"Content-Length: {4 * len(MEGABYTE)}"))
     writer.write(MEGABYTE + MEGABYTE)
-    await pair.ingress.script.seen(RequestArrived)
+    await pair.ingress.script.wait_for_events(RequestArrived)
     await pair.wait_for_data(MEGABYTE)
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", -1000.0)
     pair.ingress.listener._sweep()
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
-    assert [e.outcome for e in pair.ingress.script.of(AttemptEnded)] == [Outcome.CANCELLED]
+    assert [e.outcome for e in pair.ingress.script.events_of_type(AttemptEnded)] == [Outcome.CANCELLED]
     await pair.server.until(lambda: len(pair.server.closed) == 1)
     assert pair.memory_budget.used == 0
     writer.close()
