--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -161,9 +161,9 @@
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10):
-            while not holds():
+            while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
--- a/tests/support/streaming.py
+++ b/tests/support/streaming.py
@@ -42,7 +42,9 @@
         return reader, writer
 
     async def wait_for_data(self, expected: bytes = b"\r\n\r\n") -> Peer:
-        await self.server.until(lambda: bool(self.server.peers) and expected in self.server.peers[-1].data)
+        await self.server.wait_until(
+            lambda: bool(self.server.peers) and expected in self.server.peers[-1].data
+        )
         return self.server.peers[-1]
 
     @property
--- a/tests/support/upgrade.py
+++ b/tests/support/upgrade.py
@@ -73,8 +73,8 @@
         self.successors_lost += 1
         self.changed.set()
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10):
-            while not holds():
+            while not condition():
                 self.changed.clear()
                 await self.changed.wait()
--- a/tests/test_arrival_time.py
+++ b/tests/test_arrival_time.py
@@ -18,7 +18,7 @@
 async def forwarded_timeout(backend: PeerServer, request_id: str) -> float:
     """Returns the Request-Timeout, in s, that the backend received with that request."""
     id_field = f"Request-Id: {request_id}\r\n".encode()
-    await backend.until(lambda: any(id_field in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(id_field in peer.data for peer in backend.peers))
     (data,) = (peer.data for peer in backend.peers if id_field in peer.data)
     head = data.partition(id_field)[2]
     return int(head.partition(b"Request-Timeout: ")[2].partition(b"m")[0]) / 1000
@@ -30,7 +30,7 @@
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", timeout="2000m") + request("r1", timeout="2000m"))
     sent_at = time.monotonic()
-    await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     await asyncio.sleep(1.0)
     backend.peers[0].transport.write(OK)
     assert await forwarded_timeout(backend, "r1") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
@@ -43,7 +43,7 @@
     """More requests wait than are read ahead, so the last ones stay in the socket until reading resumes."""
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}", timeout="2000m") for n in range(10)))
-    await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0.001)
@@ -54,7 +54,7 @@
         peer.transport.write(OK)
     for number in range(1, 10):  # one after another, on whichever connection each is sent
         id_field = b"Request-Id: r%d\r" % number
-        await backend.until(lambda id_field=id_field: any(id_field in p.data for p in backend.peers))
+        await backend.wait_until(lambda id_field=id_field: any(id_field in p.data for p in backend.peers))
         next(p for p in backend.peers if id_field in p.data).transport.write(OK)
     assert await forwarded_timeout(backend, "late") <= TIMEOUT - (time.monotonic() - sent_at) + SLACK
     writer.close()
@@ -78,7 +78,7 @@
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0", timeout="2000m") + request("r1", timeout="300m"))
-    await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     await asyncio.sleep(0.5)
     backend.peers[0].transport.write(OK)
     async with asyncio.timeout(5):
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -102,7 +102,7 @@
     client = connect_client(ingress, data)
     await ingress.script.wait_for_events(RequestArrived)
     ids_before = [] if "counter" in trigger else [b"r0"]
-    await backend.until(lambda: received_request_ids(backend) == ids_before)
+    await backend.wait_until(lambda: received_request_ids(backend) == ids_before)
     if data is MANY:
         (connection,) = ingress.listener.connections
         while not connection._read_flow.paused:
@@ -157,7 +157,7 @@
         and ended.request_ended
         and ingress.script.events_of_type(ClientDisconnected)
     )
-    await backend.until(lambda: len(backend.closed) == 1)
+    await backend.wait_until(lambda: len(backend.closed) == 1)
     assert received_request_ids(backend) == []
 
 
@@ -169,7 +169,7 @@
     exchange = ingress.backends.send(1, request("r0"), ended.set_result, authorize=lambda: None)
     async with asyncio.timeout(10):
         assert (await ended).outcome is Outcome.NOT_SENT
-    await backend.until(lambda: len(backend.closed) == 1)
+    await backend.wait_until(lambda: len(backend.closed) == 1)
     assert exchange.ended and received_request_ids(backend) == [] and ingress.sockets.backends.in_use == 0
 
 
@@ -184,7 +184,7 @@
     backend.on_data = lambda peer: peer.transport.pause_reading()
     client = await asyncio.to_thread(connect_client, ingress, head + bytes(size))
     await ingress.script.wait_for_events(RequestArrived)
-    await backend.until(lambda: bool(backend.peers))
+    await backend.wait_until(lambda: bool(backend.peers))
     client.close()
     await ingress.script.wait_for_events(ClientDisconnected)
     (ended,) = ingress.script.events_of_type(AttemptEnded)
@@ -195,7 +195,7 @@
     """Guards against leaving its request open: if the client does not read, unsent data delays the close."""
     ingress.script.rule = lambda event: [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) else []
     client = connect_client(ingress, request("r0"))
-    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
+    await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     connection.transport.set_write_buffer_limits(high=1 << 30)
     connection.transport.write(bytes(16_000_000))
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -35,7 +35,7 @@
     """
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(9)) + request("s0") * 20)
-    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
+    await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
@@ -56,7 +56,7 @@
     monkeypatch.setattr(read_flow, "CLIENT_LEFT_CHECK_INTERVAL_S", 60.0)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"r{n}") for n in range(12)))
-    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
+    await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     (connection,) = ingress.listener.connections
     while not connection._read_flow.paused:
         await asyncio.sleep(0)
@@ -83,7 +83,7 @@
     await disconnect(writer)
     response = asyncio.create_task(ingress.ask(request("r1")))
     ingress.listener.resume_accepting()
-    await backend.until(lambda: b"r1" in received_request_ids(backend))
+    await backend.wait_until(lambda: b"r1" in received_request_ids(backend))
     for peer in backend.peers:
         peer.transport.write(OK)
     assert (await response).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -57,7 +57,7 @@
     (tmp_path / "config.json").write_text(json.dumps(document))
     process = start_ingress(tmp_path / "config.json")
     port = await asyncio.to_thread(listening_port, process)
-    await agent.until(lambda: agent.watched == [b"GET /discovery/hosts?watch=1&from=5"])
+    await agent.wait_until(lambda: agent.watched == [b"GET /discovery/hosts?watch=1&from=5"])
     assert (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 ")
     await stop_orderly(process)
     for server in (backend, agent, counter):
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -67,7 +67,7 @@
     assert await pooled.outcome() is Outcome.OK
     assert await pooled.outcome() is Outcome.OK
     assert len(server.peers) == 2
-    await server.until(lambda: len(server.closed) == 2)
+    await server.wait_until(lambda: len(server.closed) == 2)
     assert pooled.sockets.in_use == 0
     pooled.backends.stop()
     server.stop()
@@ -79,7 +79,7 @@
     assert await pooled.outcome() is Outcome.OK
     pooled.server.on_data = lambda peer: None
     written, unwritten = pooled.send(), pooled.send()
-    await pooled.server.until(lambda: b"\r\n\r\n" in pooled.server.peers[0].data)
+    await pooled.server.wait_until(lambda: b"\r\n\r\n" in pooled.server.peers[0].data)
     third = pooled.send()
     pooled.list(status="draining")
     assert third.done() and third.result().outcome is Outcome.CONNECT_FAILED
@@ -88,14 +88,14 @@
         peer.transport.write(OK)
     assert (await written).outcome is Outcome.OK  # a draining backend finishes the requests that it has
     assert (await unwritten).outcome in (Outcome.OK, Outcome.CONNECT_FAILED)
-    await pooled.server.until(lambda: len(pooled.server.closed) == len(pooled.server.peers))
+    await pooled.server.wait_until(lambda: len(pooled.server.closed) == len(pooled.server.peers))
 
 
 async def test_a_backend_may_change_its_address(pooled: PooledBackend) -> None:
     assert await pooled.outcome() is Outcome.OK
     other = await PeerServer(respond_with(OK)).start()
     pooled.list(port=other.port)
-    await pooled.server.until(lambda: len(pooled.server.closed) == 1)
+    await pooled.server.wait_until(lambda: len(pooled.server.closed) == 1)
     assert await pooled.outcome() is Outcome.OK
     assert len(other.peers) == 1 and len(pooled.server.peers) == 1
     other.stop()
@@ -182,13 +182,13 @@
 ) -> None:
     """The duplicate may follow the next request, so a connection is not reused until after a delay."""
     first = asyncio.create_task(ingress.ask(request("r0")))
-    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
+    await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
     second = asyncio.create_task(ingress.ask(request("r1")))
-    await backend.until(lambda: b"r1" in received_request_ids(backend))
+    await backend.wait_until(lambda: b"r1" in received_request_ids(backend))
     backend.peers[0].transport.write(DUPLICATE)
-    await backend.until(lambda: backend.peers[0] in backend.closed)  # no request fails
+    await backend.wait_until(lambda: backend.peers[0] in backend.closed)  # no request fails
     backend.peers[-1].transport.write(OK)
     assert (await second).endswith(b"warm")
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -53,7 +53,7 @@
         lines = [line for peer in server.peers for line in peer.data.split(b"\r\n")]
         return [line for line in lines if line.startswith(b"add")]
 
-    await server.until(lambda: len(adds()) >= count)
+    await server.wait_until(lambda: len(adds()) >= count)
     return adds()
 
 
@@ -100,7 +100,7 @@
     await received_adds(server, 1)
     server.peers[0].transport.write(reply)
     assert await calls.answered(1) == [("a", Outcome.RESET, 0.0)]  # it was written and may have been executed
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
@@ -135,10 +135,10 @@
     assert first.data.count(b"add") == 3 and other.data.count(b"add") == 1
     first.transport.write(b"ok {}\r\n")
     assert await calls.answered(2) == [("c", Outcome.RESET, 0.0), ("c again", Outcome.RESET, 0.0)]
-    await server.until(lambda: b"add 0000000000000001 0.000000 4000" in other.data)  # reads the total
+    await server.wait_until(lambda: b"add 0000000000000001 0.000000 4000" in other.data)  # reads the total
     other.transport.write(b"ok 4\r\nok 1\r\n")
     assert (await calls.answered(4))[2:] == [("b", Outcome.OK, 4.0), ("a", Outcome.OK, 1.0)]
-    await server.until(lambda: len(server.peers) == 3)
+    await server.wait_until(lambda: len(server.peers) == 3)
     calls.counter.stop()
 
 
@@ -182,7 +182,7 @@
     server.on_data = lambda peer: None if peer is stuck else peer.transport.write(b"ok 5\r\n")
     calls.add("later", name=2)
     assert await calls.answered(2) == [("later", Outcome.OK, 5.0), ("stuck", Outcome.RESET, 0.0)]
-    await server.until(lambda: stuck in server.closed and len(server.peers) == 3)
+    await server.wait_until(lambda: stuck in server.closed and len(server.peers) == 3)
     calls.counter.stop()
 
 
@@ -197,7 +197,7 @@
     server.peers[0].transport.write(b"ok 2\r\n")
     assert await calls.answered(1) == [("a", Outcome.OK, 2.0)]
     await drain
-    await server.until(lambda: len(server.closed) == 1)
+    await server.wait_until(lambda: len(server.closed) == 1)
     assert len(server.peers) == 1
 
 
@@ -208,8 +208,8 @@
     monkeypatch.setattr(connection_module, "DEAD_CONNECTION_TIMEOUT", 0.05)
     calls = RecordedCalls(server, LONG_TIMEOUT)
     await calls.connect()
-    await server.until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -133,7 +133,7 @@
         for peer in counter.peers:
             peer.transport.abort()
         counter_connections, open_descriptors = len(counter.peers), len(os.listdir(f"/proc/{process.pid}/fd"))
-        await counter.until(lambda: len(counter.peers) > counter_connections)
+        await counter.wait_until(lambda: len(counter.peers) > counter_connections)
         ready = f"GET /control/ready HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode()
         assert (await fetch(admin, ready)).startswith(b"HTTP/1.1 200 ")
         agent.endpoint_list, agent.silent = list_document(3, a="draining", b="up"), False
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -31,7 +31,7 @@
 async def test_a_request_is_served_and_reaches_the_policy(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
     task = asyncio.create_task(ingress.ask(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1")))
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     forwarded = backend.peers[0].data
     backend.peers[0].transport.write(OK)
     answer = await task
@@ -57,7 +57,7 @@
     data = request(cls="save", Idempotency_Key="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     data = data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
     task = asyncio.create_task(ingress.ask(data + body))
-    await backend.until(lambda: bool(backend.peers) and backend.peers[0].data.endswith(body))
+    await backend.wait_until(lambda: bool(backend.peers) and backend.peers[0].data.endswith(body))
     head, _, forwarded_body = backend.peers[0].data.partition(b"\r\n\r\n")
     backend.peers[0].transport.write(OK)
     assert (await task).endswith(b"warm")
@@ -92,7 +92,7 @@
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
     # The close of the second connection does not count as a disconnect of the first request's client.
     assert not ingress.script.events_of_type(ClientDisconnected)
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")  # also right after its end
@@ -113,11 +113,11 @@
     script.rule = lambda event: cancel if isinstance(event, ClientDisconnected) else send_first(event)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request())
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     writer.close()
     (ended,) = await script.wait_for_events(AttemptEnded)
     assert ended.outcome is Outcome.CANCELLED and ended.request_ended
-    await backend.until(lambda: len(backend.closed) == 1)
+    await backend.wait_until(lambda: len(backend.closed) == 1)
 
 
 async def test_a_request_without_a_decision_fails_before_its_deadline(ingress: Ingress) -> None:
@@ -216,7 +216,7 @@
     backend.on_data = lambda peer: None
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
-    await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     ingress.listener.begin_shutdown()
     (connection,) = ingress.listener.connections
     original_respond = connection.respond
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -47,7 +47,7 @@
         assert await idle.read() == b""  # long before the regular idle timeout
     assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 503 ")
     server.on_data = respond_with(OK)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.on_data(server.peers[0])
     first, second = await read_answer(busy), await read_answer(busy)
     assert first.startswith(b"HTTP/1.1 200 ") and second.startswith(b"HTTP/1.1 200 ")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -46,11 +46,11 @@
     process = start_ingress(tmp_path / "config.json")
     port = await asyncio.to_thread(listening_port, process)
     open_requests = [asyncio.create_task(fetch(port, request(f"r{n}", "order", "4000m"))) for n in range(2)]
-    await server.until(lambda: sum(b"\r\n\r\n" in peer.data for peer in server.peers) == 2)
+    await server.wait_until(lambda: sum(b"\r\n\r\n" in peer.data for peer in server.peers) == 2)
     process.send_signal(signal.SIGTERM)
     first = server.peers[0].data.partition(b"Request-Id: ")[2][:2]
     late_request = asyncio.create_task(fetch(port, request("late", "order", "4000m")))
-    await server.until(lambda: len(server.peers) == 3 and b"\r\n\r\n" in server.peers[2].data)
+    await server.wait_until(lambda: len(server.peers) == 3 and b"\r\n\r\n" in server.peers[2].data)
     server.peers[0].transport.write(OK)
     server.peers[2].transport.write(OK)
     answers = {f"r{n}".encode(): await a for n, a in enumerate(open_requests)} | {b"late": await late_request}
@@ -89,7 +89,7 @@
     while not ingress.listener.connections:
         await asyncio.sleep(0)
     open_request = asyncio.create_task(ingress.ask(request("r0")))
-    await backend.until(lambda: received_request_ids(backend) == [b"r0"])
+    await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     ingress.engine.fail_all()
@@ -133,7 +133,7 @@
     port = await asyncio.to_thread(listening_port, process)
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(request("r0", "order", "4000m"))
-    await server.until(lambda: received_request_ids(server) == [b"r0"])
+    await server.wait_until(lambda: received_request_ids(server) == [b"r0"])
     idle, idle_writer = await asyncio.open_connection(HOST, port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -28,7 +28,7 @@
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
     open_request = asyncio.create_task(ingress.ask(request()))
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     ingress.listener.begin_shutdown()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -321,7 +321,7 @@
         admin = int(line.rpartition(":")[2]) if "operators: listening for calls" in line else 0
     await asyncio.to_thread(listening_port, process)
     async with asyncio.timeout(60):
-        await agent.until(lambda: bool(agent.watched))
+        await agent.wait_until(lambda: bool(agent.watched))
         delta = json.dumps(
             {"index": 3, "snapshot": False, "endpoints": [endpoint_fields(LONG_LIST)]}
         ).encode()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -31,7 +31,7 @@
     process.send_signal(signal.SIGHUP)
     await asyncio.sleep(0.4)
     path.write_text(files[1])
-    await agents[1].until(lambda: bool(agents[1].watched))
+    await agents[1].wait_until(lambda: bool(agents[1].watched))
     await stop_orderly(process)
     for agent in agents:
         agent.stop()
@@ -53,16 +53,16 @@
     path.write_text(files[0])
     process = start_ingress(path, EDGE_DISCOVERY=f"{HOST}:{agents[0].port}")
     port = await asyncio.to_thread(listening_port, process)
-    await agents[0].until(lambda: bool(agents[0].watched))
+    await agents[0].wait_until(lambda: bool(agents[0].watched))
     while not (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 "):
         pass  # until the first answers of the counter and discovery have arrived
     assert servers[0].peers and not servers[1].peers
     path.write_text(files[1])
     process.send_signal(signal.SIGHUP)
     process.send_signal(signal.SIGHUP)
-    await agents[1].until(lambda: agents[1].watched == [b"GET /discovery/hosts?watch=1&from=2"])
-    await agents[0].until(lambda: len(agents[0].closed) == len(agents[0].peers))
-    await counters[0].until(lambda: len(counters[0].closed) == len(counters[0].peers))
+    await agents[1].wait_until(lambda: agents[1].watched == [b"GET /discovery/hosts?watch=1&from=2"])
+    await agents[0].wait_until(lambda: len(agents[0].closed) == len(agents[0].peers))
+    await counters[0].wait_until(lambda: len(counters[0].closed) == len(counters[0].peers))
     assert (await fetch(port, request("b1", Cookie=f"customer={8:016x}"))).startswith(b"HTTP/1.1 200 ")
     assert servers[1].peers and counters[1].added and agents[0].watched
     path.write_text("{")
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -61,7 +61,7 @@
     delay_connects(monkeypatch, 0.6)
     response = asyncio.create_task(ingress.ask(request("r0", timeout=f"{timeout * 1000:.0f}m")))
     sent_at = time.monotonic()
-    await backend.until(lambda: any(b"\r\n\r\n" in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(b"\r\n\r\n" in peer.data for peer in backend.peers))
     assert 0 < sent_timeout_s(backend.peers[0]) <= timeout - (time.monotonic() - sent_at) + SLACK
     backend.peers[0].transport.write(OK)
     assert b" 200 " in await response
@@ -83,7 +83,7 @@
 
     ingress.script.rule = retry_after_reset
     response = asyncio.create_task(ingress.ask(request("r0", "save", Idempotency_Key="k")))
-    await backend.until(lambda: any(b"r0" in peer.data for peer in backend.peers))
+    await backend.wait_until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     delay_connects(monkeypatch, 0.7)
     backend.peers[0].transport.abort()  # the attempt may have run
     assert b" 502 " in await response
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -130,7 +130,7 @@
     writer.transport.abort()
     (ended,) = await pair.ingress.script.wait_for_events(AttemptEnded)
     assert ended.outcome is Outcome.CANCELLED
-    await pair.server.until(lambda: len(pair.server.closed) == 1)
+    await pair.server.wait_until(lambda: len(pair.server.closed) == 1)
     assert pair.memory_budget.used == 0 and not pair.ingress.engine._requests
 
 
@@ -162,7 +162,7 @@
     peer.transport.resume_reading()
     final_bytes = b"\r\n0\r\n\r\n" if chunked else body[-1000:]
     async with asyncio.timeout(20):
-        await pair.server.until(lambda: peer.data.endswith(final_bytes) and len(peer.data) > len(body))
+        await pair.server.wait_until(lambda: peer.data.endswith(final_bytes) and len(peer.data) > len(body))
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
     head, _, forwarded_body = peer.data.partition(b"\r\n\r\n")
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -94,7 +94,7 @@
     answer = await read_answer(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
     assert [e.outcome for e in pair.ingress.script.events_of_type(AttemptEnded)] == [Outcome.CANCELLED]
-    await pair.server.until(lambda: len(pair.server.closed) == 1)
+    await pair.server.wait_until(lambda: len(pair.server.closed) == 1)
     assert pair.memory_budget.used == 0
     writer.close()
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -36,13 +36,13 @@
     assert new.states == [STATE] and new.list_parts_restored == old.list_parts()
     assert await starting.take_over() == {"accounts": []} and old.handovers == 1
     starting.send_operator_call(EndpointCall("a", is_offline=True))
-    await old.until(lambda: old.operator_calls == [EndpointCall("a", is_offline=True)])
+    await old.wait_until(lambda: old.operator_calls == [EndpointCall("a", is_offline=True)])
     serving.send_operator_call(DrainCall(is_draining=True))
-    await new.until(lambda: new.operator_calls == [DrainCall(is_draining=True)])
+    await new.wait_until(lambda: new.operator_calls == [DrainCall(is_draining=True)])
     starting.send_list_change(list_change(7))  # each process forwards list changes from its discovery
-    await old.until(lambda: [c.endpoints.version for c in old.changes] == [7])
+    await old.wait_until(lambda: [c.endpoints.version for c in old.changes] == [7])
     serving.send_list_change(list_change(8))
-    await new.until(lambda: [c.endpoints.version for c in new.changes] == [8])
+    await new.wait_until(lambda: [c.endpoints.version for c in new.changes] == [8])
     assert encode(new.changes[0]) == encode(list_change(8))
     assert encode(old.changes[0]) == encode(list_change(7))
     starting.listen_for_successor()  # for the next process, under the same name
@@ -62,7 +62,7 @@
     await starting.find_predecessor()
     await starting.take_over()
     starting.stop()
-    await old.until(lambda: old.successors_lost == 1)
+    await old.wait_until(lambda: old.successors_lost == 1)
     assert old.descriptor_sharing == [True, False]
     third = coordinator(tmp_path)  # another process may take over
     assert await third.find_predecessor() and await third.take_over() is not None and old.handovers == 2
@@ -80,7 +80,7 @@
     await starting.take_over()
     starting.listen_for_successor()
     starting.stop()
-    await old.until(lambda: old.successors_lost == 1)
+    await old.wait_until(lambda: old.successors_lost == 1)
     async with asyncio.timeout(5):
         while (third := coordinator(tmp_path)) and not await third.find_predecessor():
             await asyncio.sleep(0.01)
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -218,7 +218,7 @@
     assert await operators_call(old_admin, "POST /control/backends/s-2/offline") == 200
     reader, writer = await asyncio.open_connection(HOST, shared.port)
     writer.write(request("old", "order", timeout=f"{REQUEST_TIME_US // 1000}m"))
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
     assert await operators_call(new_admin, "GET /control/ready") == 200
     server.on_data = respond_with(OK)
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -88,12 +88,12 @@
     received: list[int] = []
     pooled.server.on_data = lambda peer: received.append(len(pooled.server.peers))
     pooled.send()
-    await pooled.server.until(lambda: len(received) == 1)
+    await pooled.server.wait_until(lambda: len(received) == 1)
     (connection,) = pooled.backends._pools[1].busy
     assert pooled.exchange.abort() is True
     with pytest.raises(BrokenPipeError):  # `abort` shuts the socket down before it returns
         connection.sock.send(b"x")
-    await pooled.server.until(lambda: len(pooled.server.closed) == 1)
+    await pooled.server.wait_until(lambda: len(pooled.server.closed) == 1)
     assert pooled.sockets.in_use == 0
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -32,7 +32,7 @@
     watched = RecordedWatch(agent, 41)
     await watched.received(1)
     agent.peers[0].transport.abort()
-    await agent.until(lambda: len(agent.calls) == 5)
+    await agent.wait_until(lambda: len(agent.calls) == 5)
     assert agent.calls[1:] == [b"GET /discovery/hosts?watch=1&from=42"] * 4
     first, longest = watch_retry.RECONNECT_BACKOFF
     assert len(waits) == 4 and waits[0] <= 1.5 * first and max(waits) <= 1.5 * longest
@@ -49,7 +49,7 @@
     agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False))))
     await agent.start()
     watched = RecordedWatch(agent, 41)
-    await agent.until(lambda: len(agent.calls) == 4)
+    await agent.wait_until(lambda: len(agent.calls) == 4)
     agent.peers[3].transport.write(WATCH_HEAD + chunk(list_line(list_document(43, False, a="draining"))))
     assert (await watched.received(2))[1] == (43, False, ["a=draining"])
     assert waits == []
@@ -100,7 +100,7 @@
     await agent.start()
     watched = RecordedWatch(agent, 41)
     assert await watched.received(1) == [(43, True, ["a=draining"])]
-    await agent.until(lambda: len(agent.calls) == 3)
+    await agent.wait_until(lambda: len(agent.calls) == 3)
     watch = b"GET /discovery/hosts?watch=1&from="
     assert agent.calls == [watch + b"41", b"GET /discovery/hosts", watch + b"43"]
     watched.watch.stop()
@@ -117,7 +117,7 @@
     monkeypatch.setattr(watch_retry, "MIN_FIRST_BYTE_TIMEOUT", 0.05)
     began = asyncio.get_running_loop().time()
     watched = RecordedWatch(agent, 41)
-    await agent.until(lambda: len(agent.calls) == 3)
+    await agent.wait_until(lambda: len(agent.calls) == 3)
     assert asyncio.get_running_loop().time() - began < watch_connection.HEARTBEAT_TIMEOUT
     watched.watch.stop()
     agent.stop()
@@ -144,7 +144,7 @@
 
 async def test_the_watch_starts_from_the_version_held_and_resumes_from_the_last(server: PeerServer) -> None:
     watched = RecordedWatch(server, 41, 1)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     assert server.peers[0].data.startswith(b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1\r\n")
     two_lists = (
         list_line(list_document(42, False, a="up"))
@@ -158,7 +158,7 @@
         (43, True, ["a", "b"]),
     ]
     server.peers[0].transport.close()
-    await server.until(lambda: len(server.peers) == 2 and b"\r\n\r\n" in server.peers[1].data)
+    await server.wait_until(lambda: len(server.peers) == 2 and b"\r\n\r\n" in server.peers[1].data)
     assert b"from=43 " in server.peers[1].data
     watched.watch.stop()
 
@@ -166,7 +166,7 @@
 async def test_a_silent_watch_is_reopened(server: PeerServer, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT", 0.05)
     watched = RecordedWatch(server, 41, 1)
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: len(server.peers) == 2)
     watched.watch.stop()
 
 
--- a/tests/test_watch_connection.py
+++ b/tests/test_watch_connection.py
@@ -93,9 +93,9 @@
     server: PeerServer, bad: bytes
 ) -> None:
     watched = RecordedWatch(server, 41, 1)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.peers[0].transport.write(WATCH_HEAD + chunk(bad))
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: len(server.peers) == 2)
     assert watched.lists == []
     watched.watch.stop()
 
