--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -210,17 +210,17 @@
         for connection in list(self.listener.connections):
             connection.transport.abort()
 
-    async def ask(self, request: bytes) -> bytes:
+    async def fetch(self, request: bytes) -> bytes:
         """All that comes back on a new connection until it is closed or the answer is whole."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         try:
             writer.write(request)
-            return await read_answer(reader)
+            return await read_response(reader)
         finally:
             writer.close()
 
 
-async def read_answer(reader: asyncio.StreamReader) -> bytes:
+async def read_response(reader: asyncio.StreamReader) -> bytes:
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length:")[2].split()[0])
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.net_helpers import HOST, RAW, Peer, read_answer
+from tests.net_helpers import HOST, RAW, Peer, read_response
 
 ROOT = Path(__file__).parent.parent
 
@@ -130,6 +130,6 @@
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
     try:
-        return await read_answer(reader)
+        return await read_response(reader)
     finally:
         writer.close()
--- a/tests/support/fake_network.py
+++ b/tests/support/fake_network.py
@@ -106,11 +106,11 @@
     def fail(self, timed_out: bool) -> None:
         self.answers.append("late" if timed_out else "failed")
 
-    def ask(self, request_id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
+    def submit_request(self, request_id: bytes = b"a", timeout: int = 1_000_000, age: int = 0) -> bool:
         body = Body(MemoryBudget())
         body.complete = True
         parsed = ParsedRequest(
-            request_id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", body
+            request_id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - age, False, b"GET / HTTP/1.1\r\n", body
         )
         return self.engine.on_request(parsed, self)
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,7 +13,7 @@
 from quota_ingress.net.admin import AdminServer, Status, decode_percent
 from tests.net_helpers import (
     HOST,
-    read_answer,
+    read_response,
 )
 
 
@@ -52,7 +52,7 @@
     async def call(self, line: str) -> int:
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(f"{line} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-        answer = await read_answer(reader)
+        answer = await read_response(reader)
         assert b"\r\nConnection: close\r\n" in answer and await reader.read() == b""
         writer.close()
         return int(answer.split(b" ")[1])
@@ -109,7 +109,7 @@
 async def test_bytes_that_are_not_http_get_400(operators: Operators) -> None:
     reader, writer = await asyncio.open_connection(HOST, operators.port)
     writer.write(b"nonsense\r\n\r\n")
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 400 ")
     writer.close()
 
 
@@ -117,7 +117,7 @@
     """If `Status` lacks the code of the framing error, the log gets a traceback and the call no answer."""
     reader, writer = await asyncio.open_connection(HOST, operators.port)
     writer.write(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n")
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 501 Not Implemented\r\n")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 501 Not Implemented\r\n")
     writer.close()
 
 
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -75,13 +75,13 @@
 ) -> None:
     """The request is read before the end of the stream, and an idle backend connection is available."""
     backend.on_data = respond_with(OK)
-    await ingress.ask(request("k0"))
+    await ingress.fetch(request("k0"))
     backend.on_data = lambda peer: None
     ingress.listener.pause_accepting()
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("r0"))
     await disconnect(writer)
-    response = asyncio.create_task(ingress.ask(request("r1")))
+    response = asyncio.create_task(ingress.fetch(request("r1")))
     ingress.listener.resume_accepting()
     await backend.wait_until(lambda: b"r1" in received_request_ids(backend))
     for peer in backend.peers:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -181,11 +181,11 @@
     ingress: Ingress, backend: PeerServer
 ) -> None:
     """The duplicate may follow the next request, so a connection is not reused until after a delay."""
-    first = asyncio.create_task(ingress.ask(request("r0")))
+    first = asyncio.create_task(ingress.fetch(request("r0")))
     await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
-    second = asyncio.create_task(ingress.ask(request("r1")))
+    second = asyncio.create_task(ingress.fetch(request("r1")))
     await backend.wait_until(lambda: b"r1" in received_request_ids(backend))
     backend.peers[0].transport.write(DUPLICATE)
     await backend.wait_until(lambda: backend.peers[0] in backend.closed)  # no request fails
@@ -195,8 +195,8 @@
 
 async def test_a_connection_is_reused_after_the_reuse_delay(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = respond_with(OK)
-    assert (await ingress.ask(request("r0"))).endswith(b"warm")
+    assert (await ingress.fetch(request("r0"))).endswith(b"warm")
     (pool,) = ingress.backends._pools.values()
     pool.now = lambda: asyncio.get_running_loop().time() + 1.0
-    assert (await ingress.ask(request("r1"))).endswith(b"warm")
+    assert (await ingress.fetch(request("r1"))).endswith(b"warm")
     assert len(backend.peers) == 1
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -18,7 +18,7 @@
     OK,
     Ingress,
     PeerServer,
-    read_answer,
+    read_response,
     read_statuses,
     request,
     respond_with,
@@ -30,7 +30,7 @@
 
 async def test_a_request_is_served_and_reaches_the_policy(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
-    task = asyncio.create_task(ingress.ask(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1")))
+    task = asyncio.create_task(ingress.fetch(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1")))
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     forwarded = backend.peers[0].data
     backend.peers[0].transport.write(OK)
@@ -56,7 +56,7 @@
     body = b"\x00\r\n\r\n\xff" * 30
     data = request(cls="save", Idempotency_Key="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     data = data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
-    task = asyncio.create_task(ingress.ask(data + body))
+    task = asyncio.create_task(ingress.fetch(data + body))
     await backend.wait_until(lambda: bool(backend.peers) and backend.peers[0].data.endswith(body))
     head, _, forwarded_body = backend.peers[0].data.partition(b"\r\n\r\n")
     backend.peers[0].transport.write(OK)
@@ -72,7 +72,7 @@
     gc.disable()
     try:
         writer.write(request())
-        await read_answer(reader)
+        await read_response(reader)
         references = [weakref.ref(c) for c in ingress.listener.connections]
         references += [weakref.ref(c) for pool in ingress.backends._pools.values() for c in pool.idle]
         assert len(references) == 2
@@ -87,21 +87,21 @@
 
 async def test_a_duplicate_request_id_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
-    first = asyncio.create_task(ingress.ask(request("same")))
+    first = asyncio.create_task(ingress.fetch(request("same")))
     await ingress.script.wait_for_events(RequestArrived)
-    assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
+    assert (await ingress.fetch(request("same"))).startswith(b"HTTP/1.1 409 ")
     # The close of the second connection does not count as a disconnect of the first request's client.
     assert not ingress.script.events_of_type(ClientDisconnected)
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
-    assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")  # also right after its end
+    assert (await ingress.fetch(request("same"))).startswith(b"HTTP/1.1 409 ")  # also right after its end
 
 
 async def test_pipelined_requests_are_answered_in_order(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("a1") + b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n" + request("a2"))
-    bodies = [(await read_answer(reader)).partition(b"\r\n\r\n")[2] for _ in range(3)]
+    bodies = [(await read_response(reader)).partition(b"\r\n\r\n")[2] for _ in range(3)]
     assert bodies == [b"warm", b"up\n", b"warm"]
     writer.close()
 
@@ -122,7 +122,7 @@
 
 async def test_a_request_without_a_decision_fails_before_its_deadline(ingress: Ingress) -> None:
     ingress.script.rule = lambda event: []
-    answer = await ingress.ask(request(timeout="150m"))
+    answer = await ingress.fetch(request(timeout="150m"))
     assert answer.startswith(b"HTTP/1.1 504 ")
     await ingress.script.wait_for_events(ClientDisconnected)
 
@@ -131,10 +131,10 @@
     ingress: Ingress,
 ) -> None:
     ingress.script.rule = lambda event: [Reject(1, 250_000)]
-    answer = await ingress.ask(request())
+    answer = await ingress.fetch(request())
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Retry-After: 0.250\r\n" in answer
     ingress.engine.in_flight = 100
-    assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 429 ")
+    assert (await ingress.fetch(request("b2"))).startswith(b"HTTP/1.1 429 ")
     assert len(ingress.script.events_of_type(RequestArrived)) == 1
     ingress.engine.in_flight = 0
 
@@ -144,16 +144,16 @@
         raise RuntimeError("made up")
 
     ingress.script.rule = failing_rule
-    assert (await ingress.ask(request(timeout="150m"))).startswith(b"HTTP/1.1 504 ")
+    assert (await ingress.fetch(request(timeout="150m"))).startswith(b"HTTP/1.1 504 ")
     ingress.script.rule = send_first
-    assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
+    assert (await ingress.fetch(request("b2"))).startswith(b"HTTP/1.1 200 ")
 
 
 async def test_hundreds_of_pipelined_requests_are_answered_in_order(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(b"".join(request(f"p{n}") for n in range(300)))
     for _ in range(300):
-        assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
+        assert (await read_response(reader)).startswith(b"HTTP/1.1 200 ")
     arrived = ingress.script.events_of_type(RequestArrived)
     assert [e.request for e in arrived] == list(range(1, 301))
     writer.close()
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -15,7 +15,7 @@
     Ingress,
     PeerServer,
     Script,
-    read_answer,
+    read_response,
     request,
     respond_with,
     send_first,
@@ -35,7 +35,7 @@
     )
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(health_check)
-    assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(idle)).startswith(b"HTTP/1.1 200 ")
     busy, busy_writer = await asyncio.open_connection(HOST, ingress.port)
     server.on_data = lambda peer: None
     busy_writer.write(request("r1") + request("r2"))
@@ -45,18 +45,18 @@
     ingress.listener.set_out_of_service(True)
     async with asyncio.timeout(10):
         assert await idle.read() == b""  # long before the regular idle timeout
-    assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 503 ")
+    assert (await ingress.fetch(health_check)).startswith(b"HTTP/1.1 503 ")
     server.on_data = respond_with(OK)
     await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.on_data(server.peers[0])
-    first, second = await read_answer(busy), await read_answer(busy)
+    first, second = await read_response(busy), await read_response(busy)
     assert first.startswith(b"HTTP/1.1 200 ") and second.startswith(b"HTTP/1.1 200 ")
     assert b"Connection: close" in second and await busy.read() == b""
-    new_answer = await ingress.ask(request("late"))  # new requests are still served
+    new_answer = await ingress.fetch(request("late"))  # new requests are still served
     assert new_answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in new_answer
     ingress.listener.set_out_of_service(False)
-    assert (await ingress.ask(health_check)).startswith(b"HTTP/1.1 200 ")
-    assert b"Connection: close" not in await ingress.ask(request("r3"))
+    assert (await ingress.fetch(health_check)).startswith(b"HTTP/1.1 200 ")
+    assert b"Connection: close" not in await ingress.fetch(request("r3"))
     for writer in (idle_writer, busy_writer):
         writer.close()
     ingress.stop()
@@ -80,7 +80,7 @@
         enter_state()
         reader, writer = clients[len(statuses)]
         writer.write(health_check)
-        answer = await read_answer(reader)
+        answer = await read_response(reader)
         assert b"Connection: close" in answer
         statuses.append(answer.split(b" ")[1])
         ingress.listener.set_out_of_service(False)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -31,15 +31,15 @@
         return [Reject(1)] if isinstance(event, CounterAnswered) else []
 
     network = FakeNetwork(Script(rule))
-    assert network.ask(b"a") and network.answers == [0]
-    assert not network.ask(b"a")  # its id is still in use
+    assert network.submit_request(b"a") and network.answers == [0]
+    assert not network.submit_request(b"a")  # its id is still in use
     network.pass_time(2 * max(c.deadline for c in SETTINGS.classes))
-    assert network.ask(b"a")  # the id has expired
+    assert network.submit_request(b"a")  # the id has expired
 
 
 def test_the_first_200_is_final_and_a_second_outcome_of_the_attempt_is_ignored() -> None:
     network = FakeNetwork(Script(sender()))
-    network.ask()
+    network.submit_request()
     network.time += 7000
     network.sent[0].ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
     network.sent[0].ended(AttemptResult(Outcome.RESET))
@@ -47,15 +47,15 @@
     (event,) = network.script.events_of_type(AttemptEnded)
     assert event.load == (2.0,) and event.latency == 7000
     assert all(t.cancelled for t in network.timers) and network.engine.in_flight == 0
-    assert not network.ask()  # the id stays in use for a while after the request has ended
+    assert not network.submit_request()  # the id stays in use for a while after the request has ended
     network.pass_time(max(c.deadline for c in SETTINGS.classes) + 1)
-    assert network.ask()  # the id has expired
+    assert network.submit_request()  # the id has expired
 
 
 def test_attempts_beyond_the_limit_or_after_the_final_answer_are_not_sent() -> None:
     another_attempt = SendAttempt(1, 1, 0)
     network = FakeNetwork(Script(sender(another_attempt, Fail(1), another_attempt)))
-    network.ask()
+    network.submit_request()
     assert attempt_results(network.script) == [(1, Outcome.NOT_SENT, False), (2, Outcome.NOT_SENT, True)]
     assert len(network.sent) == 1 and network.answers == ["failed"]
     network.sent[0].ended(AttemptResult(Outcome.OK, b"too late"))
@@ -64,7 +64,7 @@
 
 def test_time_counts_from_the_requests_receipt_and_attempts_end_before_the_deadline() -> None:
     network = FakeNetwork(Script(sender(timeout=5_000_000)))
-    network.ask(timeout=1_000_000, ago=200_000)
+    network.submit_request(timeout=1_000_000, age=200_000)
     assert network.script.events_of_type(RequestArrived)[0].time_left == 800_000
     assert b"Request-Timeout: 785m\r\n" in network.sent[0].data
     network.pass_time(800_000 - RESPONSE_MARGIN - 1)
@@ -77,7 +77,7 @@
 
 def test_a_timeout_of_an_unwritten_attempt_is_reported_as_connect_failed() -> None:
     network = FakeNetwork(Script(sender(timeout=1000)))
-    network.ask()
+    network.submit_request()
     network.sent[0].ran = False
     network.pass_time(1000)
     assert attempt_results(network.script) == [(0, Outcome.CONNECT_FAILED, False)]
@@ -85,7 +85,7 @@
 
 def test_a_request_without_time_left_is_rejected_without_the_policy() -> None:
     network = FakeNetwork(Script(sender()))
-    network.ask(timeout=100_000, ago=100_000)
+    network.submit_request(timeout=100_000, age=100_000)
     assert network.answers == [0] and not network.script.events
 
 
@@ -101,7 +101,7 @@
         return [CancelAttempt(1, 0)] if isinstance(event, CounterAnswered) else []
 
     network = FakeNetwork(Script(rule))
-    network.ask()
+    network.submit_request()
     assert [type(e) for e in network.script.events] == [RequestArrived, CounterAnswered, AttemptEnded]
     assert attempt_results(network.script) == [(0, Outcome.CANCELLED, False)]
 
@@ -112,7 +112,7 @@
     network.engine.update_endpoints(
         decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
     )
-    network.ask()
+    network.submit_request()
     network.engine.update_endpoints(
         decode_endpoint_list({"index": 2, "snapshot": True, "endpoints": entries[1:]})
     )
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -10,7 +10,7 @@
 from tests.net_helpers import (
     HOST,
     Ingress,
-    read_answer,
+    read_response,
     read_statuses,
     request,
 )
@@ -25,8 +25,8 @@
     clients = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
     for reader, writer in clients:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        await read_answer(reader)
-    answer = await ingress.ask(request())  # an idle connection is evicted for this one
+        await read_response(reader)
+    answer = await ingress.fetch(request())  # an idle connection is evicted for this one
     assert answer.startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
         assert await clients[0][0].read() == b""
@@ -37,7 +37,7 @@
         writer.write(request(f"busy{number}"))
         writers.append(writer)
     await ingress.script.wait_for_events(RequestArrived, 4)
-    answer = await ingress.ask(request("over"))
+    answer = await ingress.fetch(request("over"))
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close\r\n" in answer
     assert b"Retry-After: 0.500\r\n" in answer
     for _, writer in [*clients, *[(None, w) for w in writers]]:
@@ -51,7 +51,7 @@
     for _ in range(8):
         clients.append(await asyncio.open_connection(HOST, ingress.port))
         clients[-1][1].write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert (await read_answer(clients[-1][0])).startswith(b"HTTP/1.1 200 ")
+        assert (await read_response(clients[-1][0])).startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
         for reader, _ in clients[:5]:  # the longest idle
             assert await reader.read() == b""
@@ -64,11 +64,11 @@
     ingress.sockets.clients.limit, ingress.listener.hard_limit = 20, 30
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first"))
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 200 ")
     silent = [await asyncio.open_connection(HOST, ingress.port) for _ in range(200)]
     writer.write(request("second"))  # silent connections are evicted first, so this one is kept
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
-    assert (await ingress.ask(request("third"))).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 200 ")
+    assert (await ingress.fetch(request("third"))).startswith(b"HTTP/1.1 200 ")
     assert len(ingress.listener.connections) <= 30
     for _, other in [*silent, (None, writer)]:
         other.close()
@@ -91,12 +91,12 @@
     while not any(c._last_data_at == now[0] for c in ingress.listener.stages.awaiting_first_request):
         await asyncio.sleep(0)
     # No head has stalled for STALL_TIMEOUT_S: each may still be completed, so none is evicted yet.
-    assert (await ingress.ask(request("early"))).startswith(b"HTTP/1.1 503 ")
+    assert (await ingress.fetch(request("early"))).startswith(b"HTTP/1.1 503 ")
     now[0] += 200_000
     for number in range(3):
-        assert (await ingress.ask(request(f"late{number}"))).startswith(b"HTTP/1.1 200 ")
+        assert (await ingress.fetch(request(f"late{number}"))).startswith(b"HTTP/1.1 200 ")
     slow_writer.write(request("x")[60:])
-    assert (await read_answer(slow)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(slow)).startswith(b"HTTP/1.1 200 ")
     for _, writer in incomplete:
         writer.close()
 
@@ -112,12 +112,12 @@
     (connection,) = ingress.listener.connections
     writer.write(request("first"))  # in the socket, but not yet read by the event loop
     assert connection in ingress.listener.stages.awaiting_first_request and not ingress.listener._evict()
-    assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(fresh)).startswith(b"HTTP/1.1 200 ")
     assert connection in ingress.listener.stages.idle
     writer.write(b"G")
     assert not ingress.listener._evict()
     writer.write(request("second")[1:])
-    assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(fresh)).startswith(b"HTTP/1.1 200 ")
     assert ingress.listener._evict()
     async with asyncio.timeout(10):
         assert await fresh.read() == b""
@@ -127,10 +127,10 @@
 async def test_a_connection_with_the_next_request_begun_is_not_idle(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first") + request("second")[:20])
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 200 ")
     assert not ingress.listener.stages.idle and not ingress.listener._evict()
     writer.write(request("second")[20:])
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 200 ")
     writer.close()
 
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -17,7 +17,7 @@
     OK,
     Ingress,
     PeerServer,
-    read_answer,
+    read_response,
     received_request_ids,
     request,
     respond_with,
@@ -71,7 +71,7 @@
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.0)
     backend.on_data = respond_with(OK)
     ingress.listener.pause_accepting()
-    waiting = [asyncio.create_task(ingress.ask(request(f"r{n}"))) for n in range(3)]
+    waiting = [asyncio.create_task(ingress.fetch(request(f"r{n}"))) for n in range(3)]
     for _ in range(3):  # connecting and sending take one loop iteration each
         await asyncio.sleep(0)
     while len(asyncio.all_tasks()) < 4:
@@ -88,14 +88,14 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
-    open_request = asyncio.create_task(ingress.ask(request("r0")))
+    open_request = asyncio.create_task(ingress.fetch(request("r0")))
     await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
     ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     ingress.engine.fail_all()
     assert (await open_request).startswith(b"HTTP/1.1 504 ")
     writer.write(request("r1"))
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Connection: close\r\n" in answer
     assert received_request_ids(backend) == [b"r0"]
     writer.close()
@@ -136,14 +136,14 @@
     await server.wait_until(lambda: received_request_ids(server) == [b"r0"])
     idle, idle_writer = await asyncio.open_connection(HOST, port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(idle)).startswith(b"HTTP/1.1 200 ")
     for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
         process.send_signal(number)
     async with asyncio.timeout(10):
         assert await idle.read() == b""  # so the process has handled the signals
     idle_writer.close()
     server.peers[0].transport.write(OK)
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     writer.close()
     _, errors = await asyncio.to_thread(process.communicate, timeout=60)
     assert process.returncode == 0 and "Traceback" not in errors
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -12,7 +12,7 @@
     OK,
     Ingress,
     PeerServer,
-    read_answer,
+    read_response,
     request,
     respond_with,
 )
@@ -26,14 +26,14 @@
     backend.on_data = lambda peer: None
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
-    open_request = asyncio.create_task(ingress.ask(request()))
+    assert (await read_response(idle)).startswith(b"HTTP/1.1 200 ")
+    open_request = asyncio.create_task(ingress.fetch(request()))
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     ingress.listener.begin_shutdown()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
     backend.on_data = respond_with(OK)
-    new_answer = await ingress.ask(request("late"))
+    new_answer = await ingress.fetch(request("late"))
     backend.peers[0].transport.write(OK)
     for answer in (new_answer, await open_request):
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close\r\n" in answer
@@ -48,7 +48,7 @@
     ingress.listener.begin_shutdown()
     ingress.listener.stop_listening()
     writer.write(request())
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close\r\n" in answer
     async with asyncio.timeout(10):
         assert await reader.read() == b""
--- a/tests/test_message_reader.py
+++ b/tests/test_message_reader.py
@@ -9,7 +9,7 @@
 from quota_ingress.policy.events import RequestArrived
 from tests.net_helpers import (
     OK,
-    read_answer,
+    read_response,
     request,
     respond_with,
 )
@@ -22,7 +22,7 @@
     peer = await pair.wait_for_data(b"abcdefg")
     assert b"\r\nContent-Length: 7\r\n" in peer.data and peer.data.endswith(b"\r\n\r\nabcdefg")
     peer.transport.write(OK)
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     await pair.wait_for_data(b"Request-Id: b2")  # the bytes after the trailer are the next request
     writer.close()
 
@@ -39,7 +39,7 @@
     peer = await pair.wait_for_data(b"four")
     assert b"\r\nRequest-Id: a1\r\n" in peer.data
     peer.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n4\r\nwarm\r\n0\r\n\r\n")
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     writer.close()
 
 
@@ -51,15 +51,15 @@
     peer = await pair.wait_for_data(b"four")
     assert b"Expect" not in peer.data
     peer.transport.write(OK)
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 200 ")
     writer.close()
 
 
 async def test_a_rejected_request_gets_no_100_continue(pair: IngressAndBackend) -> None:
     reader, writer = await pair.connect(save("Content-Length: 4", Expect="100-continue", X_Plan="tin"))
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 400 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 400 ")
     other, other_writer = await pair.connect(save("Content-Length: 4", Expect="a-miracle"))
-    assert (await read_answer(other)).startswith(b"HTTP/1.1 417 ")
+    assert (await read_response(other)).startswith(b"HTTP/1.1 417 ")
     for client_writer in (writer, other_writer):
         client_writer.close()
 
@@ -74,7 +74,7 @@
     assert head.startswith(b"HTTP/1.1 200 ") and b"Content-Length: 500000\r\n" in head
     pair.server.on_data = respond_with(OK)
     writer.write(request("h2"))
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     assert len(pair.server.peers) == 2  # a connection is not reused after a response to HEAD
     writer.close()
 
@@ -84,7 +84,7 @@
     reader, writer = await pair.connect(save("Content-Length: 4", **upgrade) + b"four" + request("b2"))
     peer = await pair.wait_for_data(b"four")
     peer.transport.write(OK)
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     await pair.wait_for_data(b"Request-Id: b2")
     writer.close()
 
@@ -112,7 +112,7 @@
 )
 async def test_request_smuggling_is_rejected(pair: IngressAndBackend, data: bytes, status: bytes) -> None:
     reader, writer = await pair.connect(data)
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.split(b" ")[1] == status and b"Connection: close" in answer
     assert not pair.server.peers and not pair.ingress.script.events_of_type(RequestArrived)
     writer.close()
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -10,7 +10,7 @@
 from tests.net_helpers import (
     HOST,
     Ingress,
-    read_answer,
+    read_response,
     request,
 )
 
@@ -67,9 +67,9 @@
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(data)
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.split(b" ")[1] == status and b"Connection: close" in answer
     assert not ingress.script.events_of_type(RequestArrived)  # it reaches neither the policy nor a backend
-    assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
+    assert (await ingress.fetch(request("b2"))).startswith(b"HTTP/1.1 200 ")
     assert "Traceback" not in caplog.text
     writer.close()
--- a/tests/test_retry_races.py
+++ b/tests/test_retry_races.py
@@ -68,7 +68,7 @@
             await connect(pool, exchange)
 
     monkeypatch.setattr(ConnectionPool, "_connect", delayed_connect)
-    response = asyncio.create_task(ingress.ask(request("r0", cls)))
+    response = asyncio.create_task(ingress.fetch(request("r0", cls)))
     await dialling.wait()
     draining = int(chosen[0][-1])
     statuses = ["up", "up"]
@@ -89,10 +89,10 @@
     for server in servers:
         server.on_data = respond_with(OK)
     for number in range(4):
-        assert (await ingress.ask(request(f"k{number}"))).endswith(b"warm")
+        assert (await ingress.fetch(request(f"k{number}"))).endswith(b"warm")
     for server in servers:
         server.on_data = lambda peer: peer.transport.abort()
-    response = await ingress.ask(request("u0", "order"))
+    response = await ingress.fetch(request("u0", "order"))
     assert response.startswith(b"HTTP/1.1 502 ")
     assert sum(server.peers[n].data.count(b"u0") for server in servers for n in range(len(server.peers))) == 1
     reset_peers: list[Peer] = []
@@ -106,4 +106,4 @@
 
     for server in servers:
         server.on_data = reset_first_connection
-    assert (await ingress.ask(request("s0", Cookie=f"customer={8:016x}"))).endswith(b"warm")
+    assert (await ingress.fetch(request("s0", Cookie=f"customer={8:016x}"))).endswith(b"warm")
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -59,7 +59,7 @@
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch, timeout: float
 ) -> None:
     delay_connects(monkeypatch, 0.6)
-    response = asyncio.create_task(ingress.ask(request("r0", timeout=f"{timeout * 1000:.0f}m")))
+    response = asyncio.create_task(ingress.fetch(request("r0", timeout=f"{timeout * 1000:.0f}m")))
     sent_at = time.monotonic()
     await backend.wait_until(lambda: any(b"\r\n\r\n" in peer.data for peer in backend.peers))
     assert 0 < sent_timeout_s(backend.peers[0]) <= timeout - (time.monotonic() - sent_at) + SLACK
@@ -82,7 +82,7 @@
         return [SendAttempt(1, 1, 0)] if is_reset else send_first(event)
 
     ingress.script.rule = retry_after_reset
-    response = asyncio.create_task(ingress.ask(request("r0", "save", Idempotency_Key="k")))
+    response = asyncio.create_task(ingress.fetch(request("r0", "save", Idempotency_Key="k")))
     await backend.wait_until(lambda: any(b"r0" in peer.data for peer in backend.peers))
     delay_connects(monkeypatch, 0.7)
     backend.peers[0].transport.abort()  # the attempt may have run
@@ -119,7 +119,7 @@
     """The request ends before the response begins; its received bytes must not stay in the memory budget."""
     actions: list[Action] = [SendAttempt(1, 1, 0), Fail(1)]  # the attempt stays in flight
     network = FakeNetwork(Script(lambda event: actions if isinstance(event, RequestArrived) else []))
-    assert network.ask()
+    assert network.submit_request()
     budget = MemoryBudget()
     body = Body(budget)
     body.declared_length = 300_000
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -15,7 +15,7 @@
     OK,
     Peer,
     Script,
-    read_answer,
+    read_response,
     request,
     respond_with,
     send_first,
@@ -42,7 +42,7 @@
     pair.server.on_data = respond_with(OK)
     peer.data = b""
     writer.write(request("a2"))
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     assert len(pair.server.peers) == 1 and pair.memory_budget.used == 0
     writer.close()
 
@@ -164,7 +164,7 @@
     async with asyncio.timeout(20):
         await pair.server.wait_until(lambda: peer.data.endswith(final_bytes) and len(peer.data) > len(body))
     peer.transport.write(OK)
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     head, _, forwarded_body = peer.data.partition(b"\r\n\r\n")
     assert (b"Transfer-Encoding: chunked" if chunked else b"Content-Length: %d" % len(body)) in head
     if chunked:
@@ -189,7 +189,7 @@
 
     script.rule, pair.server.on_data = retry_after_reset, respond_or_reset
     reader, writer = await pair.connect(save(f"Content-Length: {len(body)}") + body)
-    assert (await read_answer(reader)).endswith(b"warm")
+    assert (await read_response(reader)).endswith(b"warm")
     assert all(peer.data.endswith(b"\r\n\r\n" + body) for peer in pair.server.peers)
     writer.close()
 
@@ -206,7 +206,7 @@
     )
     reader, writer = await pair.connect(save(f"Content-Length: {8 * len(MEGABYTE)}"))
     writer.write(MEGABYTE * 2)
-    answer = await read_answer(reader)  # before the whole body has been received
+    answer = await read_response(reader)  # before the whole body has been received
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Connection: close" in answer
     outcomes = [e.outcome for e in pair.ingress.script.events_of_type(AttemptEnded)]
     assert outcomes == [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -18,7 +18,7 @@
 from tests.net_helpers import (
     HOST,
     Ingress,
-    read_answer,
+    read_response,
     request,
 )
 from tests.support.streaming import MEGABYTE, IngressAndBackend, save
@@ -32,7 +32,7 @@
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(start)
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close\r\n" in answer
     async with asyncio.timeout(10):
         assert await reader.read() == b""
@@ -45,16 +45,16 @@
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first"))
-    await read_answer(reader)
+    await read_response(reader)
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 0.0)
     ingress.listener._sweep()
     assert len(ingress.listener.stages.idle) == 1  # no request has begun
     writer.write(request("second")[:9])
-    assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
+    assert (await read_response(reader)).startswith(b"HTTP/1.1 408 ")
     other, other_writer = await asyncio.open_connection(HOST, ingress.port)
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", 60.0)
     other_writer.write(request("third"))
-    await read_answer(other)
+    await read_response(other)
     monkeypatch.setattr(timeouts_module, "IDLE_TIMEOUT_S", 0.0)
     async with asyncio.timeout(10):
         assert await other.read() == b""
@@ -91,7 +91,7 @@
     await pair.wait_for_data(MEGABYTE)
     monkeypatch.setattr(timeouts_module, "HEAD_TIMEOUT_S", -1000.0)
     pair.ingress.listener._sweep()
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
     assert [e.outcome for e in pair.ingress.script.events_of_type(AttemptEnded)] == [Outcome.CANCELLED]
     await pair.server.wait_until(lambda: len(pair.server.closed) == 1)
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -27,7 +27,7 @@
     RAW,
     Peer,
     PeerServer,
-    read_answer,
+    read_response,
     request,
     respond_with,
 )
@@ -181,7 +181,7 @@
 async def operators_call(port: int, line: str) -> int:
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"{line} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-    status = int((await read_answer(reader)).split(b" ")[1])
+    status = int((await read_response(reader)).split(b" ")[1])
     writer.close()
     return status
 
@@ -226,7 +226,7 @@
         answer = await fetch(shared.port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
     server.on_data(server.peers[0])
-    answer = await read_answer(reader)
+    answer = await read_response(reader)
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
     writer.close()
     _, errors = await asyncio.to_thread(old.communicate, timeout=60)  # ends with no request left
