--- a/tests/support/fake_network.py
+++ b/tests/support/fake_network.py
@@ -31,14 +31,14 @@
 class FakeExchange:
     """An attempt that ends when the test says so."""
 
-    def __init__(self, data: bytes, ended: Callable[[AttemptResult], None]) -> None:
-        self.data, self.ended, self.aborted, self.ran = data, ended, False, True
+    def __init__(self, data: bytes, on_ended: Callable[[AttemptResult], None]) -> None:
+        self.data, self.on_ended, self.aborted, self.may_have_run = data, on_ended, False, True
         self.written = True
-        self.started: Callable[[AttemptResult], None] = lambda answer: None
+        self.on_stream_started: Callable[[AttemptResult], None] = lambda result: None
 
     def abort(self) -> bool:
         self.aborted = True
-        return self.ran
+        return self.may_have_run
 
     def withdraw(self) -> bool:
         return False
@@ -51,7 +51,7 @@
         self.time, self.timers = START, list[FakeTimer]()
         self.sent: list[FakeExchange] = []
         self.removed_endpoints: list[int] = []
-        self.answers: list[Any] = []
+        self.responses: list[Any] = []
         self.script = script
         index = SettingsIndex(SETTINGS, RAW)
         self.engine = Engine(script, SETTINGS, index, self, self, lambda: self.time)
@@ -71,40 +71,40 @@
 
     def register_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
 
-    def reconcile(self, gone: Iterable[int]) -> None:
-        self.removed_endpoints += gone
+    def reconcile(self, removed: Iterable[int]) -> None:
+        self.removed_endpoints += removed
         for exchange in self.sent:
-            exchange.ended(AttemptResult(Outcome.CONNECT_FAILED))
+            exchange.on_ended(AttemptResult(Outcome.CONNECT_FAILED))
 
     def send(
         self,
         backend: int,
         head: bytes,
-        ended: Callable[[AttemptResult], None],
-        once: bool,
+        on_ended: Callable[[AttemptResult], None],
+        non_idempotent: bool,
         body: Body | None,
-        started: Callable[[AttemptResult], None],
-        permit: Callable[[], bytes | None],
+        on_stream_started: Callable[[AttemptResult], None],
+        authorize: Callable[[], bytes | None],
     ) -> FakeExchange:
-        self.sent.append(FakeExchange(head + (permit() or b""), ended))
-        self.sent[-1].started = started
+        self.sent.append(FakeExchange(head + (authorize() or b""), on_ended))
+        self.sent[-1].on_stream_started = on_stream_started
         return self.sent[-1]
 
-    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None: ...
+    def probe(self, backend: int, on_ended: Callable[[AttemptResult], None]) -> None: ...
 
     def close_idle_connections(self, backend: int) -> None: ...
 
     def disconnected(self) -> bool:
         return False
 
-    def respond(self, answer: AttemptResult) -> None:
-        self.answers.append(answer.body)
+    def respond(self, result: AttemptResult) -> None:
+        self.responses.append(result.body)
 
     def reject(self, retry_after: int) -> None:
-        self.answers.append(retry_after)
+        self.responses.append(retry_after)
 
     def fail(self, timed_out: bool) -> None:
-        self.answers.append("late" if timed_out else "failed")
+        self.responses.append("late" if timed_out else "failed")
 
     def submit_request(self, request_id: bytes = b"a", timeout: int = 1_000_000, age: int = 0) -> bool:
         body = Body(MemoryBudget())
@@ -115,7 +115,7 @@
         return self.engine.on_request(parsed, self)
 
 
-def sender(*more: Action, timeout: int = 0) -> Callable[[Event], list[Action]]:
+def send_on_arrival(*more: Action, timeout: int = 0) -> Callable[[Event], list[Action]]:
     def rule(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [SendAttempt(event.request, 1, timeout), *more]
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -5,11 +5,11 @@
 from quota_ingress.net.discovery.endpoint_codec import decode_endpoint_list
 from quota_ingress.policy.endpoint_list import EndpointsListed
 from tests.net_helpers import Script
-from tests.support.fake_network import FakeNetwork, sender
+from tests.support.fake_network import FakeNetwork, send_on_arrival
 
 
 def test_removed_endpoints_are_forgotten_and_their_numbers_never_reused() -> None:
-    network = FakeNetwork(Script(sender()))
+    network = FakeNetwork(Script(send_on_arrival()))
     for index in range(50):
         entries = [{"name": f"s-{index}", "address": "127.0.0.1:1", "status": "up"}]
         if index:
@@ -27,7 +27,7 @@
 
 def test_an_endpoint_has_the_same_hash_key_whenever_it_was_first_listed() -> None:
     def hash_keys(names: list[str]) -> dict[str, int]:
-        network = FakeNetwork(Script(sender()))
+        network = FakeNetwork(Script(send_on_arrival()))
         entries = [{"name": name, "address": "127.0.0.1:1", "status": "up"} for name in names]
         network.engine.update_endpoints(
             decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -17,7 +17,7 @@
     RequestArrived,
 )
 from tests.net_helpers import SETTINGS, Script
-from tests.support.fake_network import START, FakeNetwork, sender
+from tests.support.fake_network import START, FakeNetwork, send_on_arrival
 
 
 def attempt_results(script: Script) -> list[tuple[int, Outcome, bool]]:
@@ -31,19 +31,19 @@
         return [Reject(1)] if isinstance(event, CounterAnswered) else []
 
     network = FakeNetwork(Script(rule))
-    assert network.submit_request(b"a") and network.answers == [0]
+    assert network.submit_request(b"a") and network.responses == [0]
     assert not network.submit_request(b"a")  # its id is still in use
     network.pass_time(2 * max(c.deadline for c in SETTINGS.classes))
     assert network.submit_request(b"a")  # the id has expired
 
 
 def test_the_first_200_is_final_and_a_second_outcome_of_the_attempt_is_ignored() -> None:
-    network = FakeNetwork(Script(sender()))
+    network = FakeNetwork(Script(send_on_arrival()))
     network.submit_request()
     network.time += 7000
-    network.sent[0].ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
-    network.sent[0].ended(AttemptResult(Outcome.RESET))
-    assert network.answers == [b"body"] and attempt_results(network.script) == [(0, Outcome.OK, True)]
+    network.sent[0].on_ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
+    network.sent[0].on_ended(AttemptResult(Outcome.RESET))
+    assert network.responses == [b"body"] and attempt_results(network.script) == [(0, Outcome.OK, True)]
     (event,) = network.script.events_of_type(AttemptEnded)
     assert event.load == (2.0,) and event.latency == 7000
     assert all(t.cancelled for t in network.timers) and network.engine.in_flight == 0
@@ -54,16 +54,16 @@
 
 def test_attempts_beyond_the_limit_or_after_the_final_answer_are_not_sent() -> None:
     another_attempt = SendAttempt(1, 1, 0)
-    network = FakeNetwork(Script(sender(another_attempt, Fail(1), another_attempt)))
+    network = FakeNetwork(Script(send_on_arrival(another_attempt, Fail(1), another_attempt)))
     network.submit_request()
     assert attempt_results(network.script) == [(1, Outcome.NOT_SENT, False), (2, Outcome.NOT_SENT, True)]
-    assert len(network.sent) == 1 and network.answers == ["failed"]
-    network.sent[0].ended(AttemptResult(Outcome.OK, b"too late"))
-    assert attempt_results(network.script)[2] == (0, Outcome.OK, True) and network.answers == ["failed"]
+    assert len(network.sent) == 1 and network.responses == ["failed"]
+    network.sent[0].on_ended(AttemptResult(Outcome.OK, b"too late"))
+    assert attempt_results(network.script)[2] == (0, Outcome.OK, True) and network.responses == ["failed"]
 
 
 def test_time_counts_from_the_requests_receipt_and_attempts_end_before_the_deadline() -> None:
-    network = FakeNetwork(Script(sender(timeout=5_000_000)))
+    network = FakeNetwork(Script(send_on_arrival(timeout=5_000_000)))
     network.submit_request(timeout=1_000_000, age=200_000)
     assert network.script.events_of_type(RequestArrived)[0].time_left == 800_000
     assert b"Request-Timeout: 785m\r\n" in network.sent[0].data
@@ -72,11 +72,11 @@
     network.pass_time(1)
     assert network.sent[0].aborted and attempt_results(network.script) == [(0, Outcome.TIMEOUT, False)]
     network.pass_time(RESPONSE_MARGIN)
-    assert network.answers == ["late"] and len(network.script.events_of_type(ClientDisconnected)) == 1
+    assert network.responses == ["late"] and len(network.script.events_of_type(ClientDisconnected)) == 1
 
 
 def test_a_timeout_of_an_unwritten_attempt_is_reported_as_connect_failed() -> None:
-    network = FakeNetwork(Script(sender(timeout=1000)))
+    network = FakeNetwork(Script(send_on_arrival(timeout=1000)))
     network.submit_request()
     network.sent[0].ran = False
     network.pass_time(1000)
@@ -84,9 +84,9 @@
 
 
 def test_a_request_without_time_left_is_rejected_without_the_policy() -> None:
-    network = FakeNetwork(Script(sender()))
+    network = FakeNetwork(Script(send_on_arrival()))
     network.submit_request(timeout=100_000, age=100_000)
-    assert network.answers == [0] and not network.script.events
+    assert network.responses == [0] and not network.script.events
 
 
 def test_events_posted_during_an_action_are_handled_after_it() -> None:
@@ -107,7 +107,7 @@
 
 
 def test_the_policy_receives_a_list_before_the_end_of_attempts_that_it_withdraws() -> None:
-    network = FakeNetwork(Script(sender()))
+    network = FakeNetwork(Script(send_on_arrival()))
     entries = [{"name": n, "address": "127.0.0.1:1", "status": "up", "since_ms": 5} for n in "ab"]
     network.engine.update_endpoints(
         decode_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -35,7 +35,7 @@
     endpoint_fields,
     endpoint_list,
 )
-from tests.support.fake_network import FakeNetwork, sender
+from tests.support.fake_network import FakeNetwork, send_on_arrival
 
 FLEET_SIZE, LONG_LIST = 7100, 90_000
 LARGE_FLEET_SETTINGS = settings_from_json(json.dumps(RAW | {"fleet_size": FLEET_SIZE}).encode())
@@ -48,7 +48,7 @@
     """An engine in a large fleet, with a scripted policy if none is given."""
 
     def __init__(self, script: Any = None) -> None:
-        super().__init__(script or Script(sender()))
+        super().__init__(script or Script(send_on_arrival()))
         index = SettingsIndex(LARGE_FLEET_SETTINGS, RAW)
         self.engine = Engine(self.script, LARGE_FLEET_SETTINGS, index, self, self, lambda: self.time)
         self.name_by_number: dict[int, str] = {}
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -124,9 +124,9 @@
     body = Body(budget)
     body.declared_length = 300_000
     body.append(b"x" * 60_000)
-    network.sent[0].started(AttemptResult(Outcome.OK, stream=body))
+    network.sent[0].on_stream_started(AttemptResult(Outcome.OK, stream=body))
     body.append(b"x" * 60_000)  # received before the connection is closed
-    assert network.answers == ["failed"] and network.sent[0].aborted and budget.used == 0
+    assert network.responses == ["failed"] and network.sent[0].aborted and budget.used == 0
 
 
 # The rules as pure functions.
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -20,7 +20,7 @@
     respond_with,
     send_first,
 )
-from tests.support.fake_network import FakeNetwork, sender
+from tests.support.fake_network import FakeNetwork, send_on_arrival
 from tests.support.streaming import MEGABYTE, IngressAndBackend, read_chunked, save
 
 
@@ -217,13 +217,13 @@
 
 
 def test_the_timeout_of_a_request_starts_at_its_last_byte() -> None:
-    network = FakeNetwork(Script(sender(timeout=300_000)))
+    network = FakeNetwork(Script(send_on_arrival(timeout=300_000)))
     body = Body(MemoryBudget())
     body.declared_length = 1_000_000
     parsed = ParsedRequest(b"a", 2, 0, 7, 1.0, 1, 0, 800_000, 0, False, b"POST / HTTP/1.1\r\n", body)
     assert network.engine.on_request(parsed, network)
     network.pass_time(30_000_000)  # a slow client: neither its timeout nor the attempt's is running
-    assert not network.answers and not network.sent[0].aborted
+    assert not network.responses and not network.sent[0].aborted
     body.complete = True
     network.engine.on_body_complete(b"a", network.time)
     network.pass_time(299_000)
