--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -19,9 +19,9 @@
     def __init__(self, server: PeerServer, idle_us: int = 10_000_000) -> None:
         self.server, self.sockets = server, DescriptorBudget(1024).backends
         self.backends = UpstreamClient(self.sockets, idle_us, 250_000)
-        self.list()
+        self.register()
 
-    def list(self, status: str = "up", port: int = 0, since_ms: int = 0) -> None:
+    def register(self, status: str = "up", port: int = 0, since_ms: int = 0) -> None:
         self.backends.register_endpoint(entry("s-1", port or self.server.port, status, since_ms), 1)
         self.backends.reconcile([1] if status == "removed" else [])
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -81,7 +81,7 @@
     written, unwritten = pooled.send(), pooled.send()
     await pooled.server.wait_until(lambda: b"\r\n\r\n" in pooled.server.peers[0].data)
     third = pooled.send()
-    pooled.list(status="draining")
+    pooled.register(status="draining")
     assert third.done() and third.result().outcome is Outcome.CONNECT_FAILED
     assert (await pooled.send()).outcome is Outcome.CONNECT_FAILED
     for peer in pooled.server.peers:
@@ -94,7 +94,7 @@
 async def test_a_backend_may_change_its_address(pooled: PooledBackend) -> None:
     assert await pooled.outcome() is Outcome.OK
     other = await PeerServer(respond_with(OK)).start()
-    pooled.list(port=other.port)
+    pooled.register(port=other.port)
     await pooled.server.wait_until(lambda: len(pooled.server.closed) == 1)
     assert await pooled.outcome() is Outcome.OK
     assert len(other.peers) == 1 and len(pooled.server.peers) == 1
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -78,7 +78,7 @@
 def test_a_timeout_of_an_unwritten_attempt_is_reported_as_connect_failed() -> None:
     network = FakeNetwork(Script(send_on_arrival(timeout=1000)))
     network.submit_request()
-    network.sent[0].ran = False
+    network.sent[0].may_have_run = False
     network.pass_time(1000)
     assert attempt_results(network.script) == [(0, Outcome.CONNECT_FAILED, False)]
 
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -53,7 +53,7 @@
 async def test_a_refused_connection_ends_as_connect_failed(pooled: PooledBackend) -> None:
     with socket.create_server((HOST, 0)) as closed_server:
         port = closed_server.getsockname()[1]
-    pooled.list(port=port)
+    pooled.register(port=port)
     assert await pooled.outcome() is Outcome.CONNECT_FAILED
     assert pooled.sockets.in_use == 0
 
@@ -66,7 +66,7 @@
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(listener.getsockname())
-        pooled.list(port=listener.getsockname()[1])
+        pooled.register(port=listener.getsockname()[1])
         assert await pooled.outcome() is Outcome.CONNECT_FAILED
         for filler in fillers:
             filler.close()
