--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -114,7 +114,7 @@
 
 
 async def test_a_call_with_an_unsupported_transfer_coding_gets_501(operators: Operators) -> None:
-    """If `Status` lacks the code of the framing error, the log gets a traceback and the call no answer."""
+    """Guards against a framing error code that `Status` lacks: no response, and a traceback in the log."""
     reader, writer = await asyncio.open_connection(HOST, operators.port)
     writer.write(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n")
     assert (await read_response(reader)).startswith(b"HTTP/1.1 501 Not Implemented\r\n")
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -54,7 +54,7 @@
         len(of_type(handle_with_counter(gateway, 0, arrival(n, plan=1), counter), SendAttempt))
         for n in range(40)
     )
-    assert 4 < sent <= 20  # beyond the burst of 4, but only up to 0.6 of the endpoints' capacity of 4 * 8
+    assert 4 < sent <= 20  # more than the burst of 4, up to 0.6 of the endpoints' capacity of 4 * 8
 
 
 def test_attempts_in_flight_are_limited_by_the_plan() -> None:
--- a/tests/test_call_pacing.py
+++ b/tests/test_call_pacing.py
@@ -79,8 +79,8 @@
 def test_calls_recover_soon_after_an_outage_if_answers_are_prompt(latency: int, recovered: bool) -> None:
     """Guards against slow recovery after an outage of the counter.
 
-    When a call's effect on the congestion did not depend on the current congestion, each of 40 gateways kept
-    to one call a second for half a minute after an outage, although answers took only a few ms.
+    When a call changed the congestion by the same factor at every congestion, each of 40 gateways made
+    only one call per second for 30 s after an outage, although answers took only a few ms.
     """
     gateway = Gateway(settings(fleet_size=40), 1)
     gateway.admission.call_pacing.congestion = gateway.admission.call_pacing.max_congestion
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -84,7 +84,7 @@
 async def test_no_attempt_begins_after_a_disconnect(
     ingress: Ingress, backend: PeerServer, trigger: str, data: bytes, close_type: str
 ) -> None:
-    """The disconnect is unread, either within one iteration of the loop or because reading is paused."""
+    """The end of the stream is unread: it arrives in the same loop iteration, or reading is paused."""
     counter = ingress.engine.counter = ManualCounter()
     kind = CounterAnswered if "counter" in trigger else TimerFired if "timer" in trigger else AttemptEnded
 
@@ -127,7 +127,7 @@
 async def test_nothing_is_written_to_a_connection_established_after_a_disconnect(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch, close_type: str
 ) -> None:
-    """The disconnect is unread behind requests, as reading is paused, so only the write detects it."""
+    """Reading is paused, so the end of the stream stays unread behind requests: only the write detects it."""
     connect_allowed, dial_started, dial_done, connect = (
         asyncio.Event(),
         asyncio.Event(),
@@ -164,7 +164,7 @@
 async def test_an_attempt_not_authorized_when_its_connection_is_established_is_not_sent(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """Whatever the reason for the missing authorization: else the attempt would never end."""
+    """Guards against an attempt that never ends because `authorize` returned None."""
     ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     exchange = ingress.backends.send(1, request("r0"), ended.set_result, authorize=lambda: None)
     async with asyncio.timeout(10):
@@ -176,7 +176,7 @@
 async def test_an_attempt_with_a_half_written_body_ends_at_a_disconnect(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """Also if attempts may not be cancelled, as the backend has not received the last byte of the request."""
+    """The backend has not received the last byte, so this holds even where attempts must not be cancelled."""
     ingress.script.rule = lambda event: [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) else []
     size = 1_000_000
     head = request("r0", "save", Idempotency_Key="k").replace(b"Length: 0", b"Length: %d" % size)
@@ -192,7 +192,7 @@
 
 
 async def test_a_half_closed_connection_counts_as_a_disconnect(ingress: Ingress, backend: PeerServer) -> None:
-    """Guards against leaving its request open: if the client does not read, unsent data delays the close."""
+    """Guards against a request that stays open: if the client does not read, unsent data delays the close."""
     ingress.script.rule = lambda event: [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) else []
     client = connect_client(ingress, request("r0"))
     await backend.wait_until(lambda: received_request_ids(backend) == [b"r0"])
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -46,7 +46,7 @@
     warming = gateway.endpoints.candidates[2]
     before = warming.concurrency_limit
     gateway.load_balancer.on_attempt_ended(warming, SECOND, 0, Outcome.OK, 50_000)
-    assert warming.concurrency_limit == before  # its capacity was not in use
+    assert warming.concurrency_limit == before  # the capacity was not fully used
     warming.in_flight = 2
     gateway.load_balancer.on_attempt_ended(warming, SECOND, 0, Outcome.OK, 50_000)
     assert warming.concurrency_limit > before
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -39,7 +39,7 @@
     assert await pooled.outcome() is Outcome.OK
     (connection,) = pooled.backends._pools[1].idle
     pooled.server.peers[0].transport.close()
-    while connection.is_alive():  # until the close has reached the socket
+    while connection.is_alive():  # time for the close to reach the socket
         pooled.server.peers[0].transport.get_extra_info("socket")
         await asyncio.sleep(0)
     assert await pooled.outcome() is Outcome.OK
@@ -86,7 +86,7 @@
     assert (await pooled.send()).outcome is Outcome.CONNECT_FAILED
     for peer in pooled.server.peers:
         peer.transport.write(OK)
-    assert (await written).outcome is Outcome.OK  # a draining backend finishes the requests that it has
+    assert (await written).outcome is Outcome.OK  # a draining backend finishes its open requests
     assert (await unwritten).outcome in (Outcome.OK, Outcome.CONNECT_FAILED)
     await pooled.server.wait_until(lambda: len(pooled.server.closed) == len(pooled.server.peers))
 
@@ -140,7 +140,7 @@
     pooled: PooledBackend, no_reuse_delay: None
 ) -> None:
     """After a reset at the next request, only an idempotent request can be sent again."""
-    pooled.server.on_data = answers_once
+    pooled.server.on_data = respond_once
     outcomes = [await pooled.outcome() for _ in range(6)]
     assert outcomes == [Outcome.OK, Outcome.RESET] * 3  # idempotent requests still reuse connections
     for _ in range(4):
@@ -151,8 +151,8 @@
     assert len(pooled.backends._pools[1].idle) == 4
 
 
-def answers_once(peer: Peer) -> None:
-    """Resets the connection at its second request."""
+def respond_once(peer: Peer) -> None:
+    """Responds to the first request on a connection and resets the connection at the second."""
     if peer.data.count(b"\r\n\r\n") == 1:
         peer.transport.write(OK)
     else:
--- a/tests/test_counted_quota.py
+++ b/tests/test_counted_quota.py
@@ -25,13 +25,13 @@
 
 FLEET_SIZE = 30
 BURST, RATE = 4.0, 2.0  # of plan 0
-WINDOW = 2 * SECOND  # the burst over the rate
+WINDOW = 2 * SECOND  # burst / rate
 EXHAUSTED = 1e4  # a total of the counter far above any limit
 MAX_DEFER = int(MAX_DEFER_FRACTION * SECOND)  # class 0's latency objective is a second
 
 
 class Sent(NamedTuple):
-    """Numbers of requests sent, by whether the quota covered them at that time."""
+    """Numbers of requests sent within and beyond the quota at the time of sending."""
 
     within_quota: int
     beyond_quota: int
@@ -79,8 +79,8 @@
 def test_a_customer_far_over_its_quota_gets_little_more_than_its_quota() -> None:
     """Guards against over-admission while the counter is congested.
 
-    When requests were admitted at random by the demand of the last window, as many were admitted beyond the
-    quota as within it.
+    When requests were admitted at random with a probability from the demand of the last window, the fleet
+    admitted as many requests beyond the quota as within it.
     """
     within, beyond = sent_by_fleet(SECOND // 10, 60, congestion=4.0)
     assert within > 0.7 * (BURST + RATE * 60) and beyond < 0.1 * within
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -141,7 +141,7 @@
             loop = asyncio.get_running_loop()
             agent._server = await loop.create_server(lambda: Peer(agent), HOST, agent.port)
         elapsed_s = await time_until_served(port, "after", 6.0) if not second.peers else 0.0
-        while not second.peers:  # until the backend in discovery's new list is connected to
+        while not second.peers:  # time to connect to the backend in the new list
             elapsed_s += await time_until_served(port, f"again{elapsed_s}"[:12], 6.0 - elapsed_s)
         assert elapsed_s < 6.0
         assert (await fetch(admin, ready)).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -95,7 +95,7 @@
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
-    assert (await ingress.fetch(request("same"))).startswith(b"HTTP/1.1 409 ")  # also right after its end
+    assert (await ingress.fetch(request("same"))).startswith(b"HTTP/1.1 409 ")  # the id is still in use
 
 
 async def test_pipelined_requests_are_answered_in_order(ingress: Ingress) -> None:
@@ -223,7 +223,7 @@
 
     def respond_after_next_request(answer: object) -> None:
         os.write(writer.get_extra_info("socket").fileno(), request("r1"))
-        time.sleep(0.02)  # until the request is in the ingress's socket
+        time.sleep(0.02)  # time for the request to reach the ingress's socket
         connection.respond = original_respond  # type: ignore[method-assign]
         original_respond(answer)  # type: ignore[arg-type]
 
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -34,7 +34,7 @@
 
 
 def test_events_are_written_in_the_form_of_the_previous_version(caplog: pytest.LogCaptureFixture) -> None:
-    """The soak's judge and operators read this log: only `at` may differ from a log recorded before."""
+    """The soak's judge and operators' tools read this log: except for `at`, it must equal a recorded one."""
     caplog.set_level(logging.INFO)
     event_log = EventLog(writes=True)
     recorded = [line.partition("ironledge.trace: ")[2] for line in RECORDED.read_text().splitlines()]
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -53,7 +53,7 @@
         clients[-1][1].write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         assert (await read_response(clients[-1][0])).startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
-        for reader, _ in clients[:5]:  # the longest idle
+        for reader, _ in clients[:5]:  # those idle longest
             assert await reader.read() == b""
     assert len(ingress.listener.stages.idle) == 3
     for _, writer in clients:
@@ -104,7 +104,7 @@
 async def test_a_connection_is_not_evicted_with_a_request_unread(ingress: Ingress) -> None:
     """Guards against closing a new connection as idle while its first request is unread.
 
-    With few descriptors left, 20 first requests were lost this way.
+    When few descriptors were left, 20 first requests were lost.
     """
     fresh, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -67,7 +67,7 @@
 async def test_connections_in_the_accept_queue_at_shutdown_are_accepted_and_answered(
     ingress: Ingress, backend: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They are connected and have sent requests; closing the listening socket first would reset them."""
+    """Their clients have sent requests; closing the listening socket first would reset the connections."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.0)
     backend.on_data = respond_with(OK)
     ingress.listener.pause_accepting()
@@ -84,7 +84,7 @@
 async def test_a_request_after_all_open_ones_were_failed_is_rejected_immediately(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    """If it were sent to a backend, it would be cut off when its connection is closed."""
+    """Guards against sending it to a backend: its connection is closed before the response arrives."""
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""How soon a started ingress accepts clients: its CPU time, and its waits."""
+"""The time until a started ingress accepts clients: CPU time and waits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.process_helpers import config_document, listening_port, start_ingress
 
 MAX_START_S = 10.0  # in which nine in ten restarted processes have to be ready
-CORE_FRACTION = 0.05  # of one core, which an ingress may have
+CORE_FRACTION = 0.05  # fraction of one core that an ingress may use
 RUNS = 5
 MAX_CPU_RATIO = 3.0  # to the start of only its event loop and parser; runs gave 1.3 to 2.0
 BACKENDS = 200
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -41,7 +41,7 @@
 
 
 async def test_while_draining_a_connection_may_still_send_its_first_request(ingress: Ingress) -> None:
-    """Guards against closing new connections as idle during a drain, which lost slow clients' requests."""
+    """Guards against closing new connections as idle during a drain: slow clients lost their requests."""
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
--- a/tests/test_long_endpoint_lists.py
+++ b/tests/test_long_endpoint_lists.py
@@ -89,7 +89,7 @@
     network.engine.update_endpoints(endpoint_list(*(endpoint_fields(n) for n in range(1000))))
     assert (
         len(network.registered_names()) == 1000 and network.last_event.ready_total == 0
-    )  # 0: all are listed
+    )  # 0: every endpoint is in the list
     network.engine.update_endpoints(
         endpoint_list(*(endpoint_fields(n) for n in range(1000, 1050)), version=2, is_snapshot=False)
     )
@@ -103,7 +103,7 @@
     assert new <= set(network.name_by_number) and len(new) < 50 and network.last_event.ready_total == 1050
     network.engine.update_endpoints(
         endpoint_list(*(endpoint_fields(n, "removed") for n in range(300)), version=3, is_snapshot=False)
-    )  # 750 are left
+    )  # 750 endpoints remain
     network.engine.update_endpoints(
         endpoint_list(endpoint_fields(400, "draining"), version=4, is_snapshot=False)
     )
@@ -176,7 +176,7 @@
 
 
 def change_cost(count: int) -> float:
-    """Least CPU time (s) of 40 deltas, each from its line to the policy, in a list of `count` endpoints."""
+    """Returns the least CPU time (s) of 40 deltas, from line to policy, in a list of `count` endpoints."""
     network, costs = LargeFleetNetwork(Gateway(LARGE_FLEET_SETTINGS, 1)), []
     overrides = OperatorOverrides(lambda: 0, network.engine.update_endpoints, network.engine.directory)
     overrides.apply_list(endpoint_list(*(endpoint_fields(n) for n in range(count))))
@@ -273,7 +273,7 @@
 def test_a_process_that_knew_90_000_endpoints_stays_under_64_mb_and_reads_none_at_sighup(
     tmp_path: Path,
 ) -> None:
-    """Decoding the configured list in one piece took the process to 99 MB, and to 130 MB at each SIGHUP."""
+    """Guards against decoding the configured list in one piece: 99 MB at the start, 130 MB at each SIGHUP."""
     endpoints = [endpoint_fields(n, since_ms=1_700_000_000_000 + n) for n in range(LONG_LIST)]
     known, path = {"index": 1, "snapshot": True, "endpoints": endpoints}, tmp_path / "config.json"
     path.write_text(json.dumps(config_document(known=known, settings=RAW | {"fleet_size": FLEET_SIZE})))
@@ -306,7 +306,7 @@
 
 
 async def test_a_process_that_receives_90_000_endpoints_twice_stays_under_64_mb(tmp_path: Path) -> None:
-    """Guards against a policy that takes 127 MB for such a list, and a limit that rejects its length."""
+    """Guards against 127 MB in the policy for such a list, and against a limit that rejects its length."""
     endpoints = [endpoint_fields(n, since_ms=1_700_000_000_000 + n) for n in range(LONG_LIST)]
     snapshot = json.dumps({"index": 1, "snapshot": True, "endpoints": endpoints}).encode()
     agent = await PeerServer(serve_snapshot(snapshot)).start()
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -42,7 +42,7 @@
 
     @property
     def last_published(self) -> dict[str, tuple[str, int]]:
-        """Status and start (us) of each endpoint in the list published last."""
+        """Returns the status and start (us) of each endpoint in the list published last."""
         entries = self.published[-1].entries
         return {entry.name: (STATUS_BY_STATE[entry.state], entry.started_us) for entry in entries}
 
@@ -160,4 +160,4 @@
     new.apply_operator_call("a", is_offline=False)
     assert published[-1].entries[0].state is EndpointState.READY and not new.offline
     with pytest.raises(IncompleteListError):
-        new.restore(old.snapshot())  # the entries have not arrived
+        new.restore(old.snapshot())  # the entries have not been restored
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,7 +20,7 @@
 
 
 async def test_a_configuration_file_that_is_missing_for_a_moment_is_read_again(tmp_path: Path) -> None:
-    """No second SIGHUP follows, so without further attempts the process would stay with the old discovery."""
+    """Guards against a single read attempt: without a second SIGHUP, the process kept the old discovery."""
     agents = [await PeerServer(answer_as_discovery(5)).start() for _ in range(2)]
     files = [json.dumps(config_document(discovery=f"{HOST}:{agent.port}")) for agent in agents]
     path = tmp_path / "config.json"
@@ -55,7 +55,7 @@
     port = await asyncio.to_thread(listening_port, process)
     await agents[0].wait_until(lambda: bool(agents[0].watched))
     while not (await fetch(port, request("a1"))).startswith(b"HTTP/1.1 200 "):
-        pass  # until the first answers of the counter and discovery have arrived
+        pass  # wait until the first answers of the counter and discovery have arrived
     assert servers[0].peers and not servers[1].peers
     path.write_text(files[1])
     process.send_signal(signal.SIGHUP)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -57,7 +57,7 @@
     gateway = make_gateway(1, limits={"may_hedge": False})
     for n in range(4):
         (sent,) = of_type(gateway.handle(n, arrival(n)), SendAttempt)
-        assert sent.timeout >= SECOND // 2  # a timeout at a third cut off many answers
+        assert sent.timeout >= SECOND // 2  # a timeout of a third cut off many answers
         gateway.handle(n, AttemptEnded(n, 0, 1, Outcome.OK, 20_000, True))
 
 
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -97,9 +97,9 @@
 async def test_a_connect_that_is_withdrawn_before_its_task_starts_frees_its_descriptor(
     backend: PeerServer,
 ) -> None:
-    """If send and withdrawal share one loop iteration, the connect task is cancelled before it starts.
+    """The attempt is withdrawn in the loop iteration of its send, so its connect task never runs.
 
-    The descriptor that was reserved for it must still be released.
+    The descriptor that was reserved for the connection must still be released.
     """
     share, outcomes = DescriptorShare(10), list[Outcome]()
     backends = UpstreamClient(share, 10_000_000, 250_000)
@@ -133,7 +133,7 @@
 
 
 def request_with(*attempts: Attempt, answered: bool = False) -> tuple[Request, Attempt]:
-    """Returns a request with these attempts and a new one, and the new one, on which the rules decide."""
+    """Returns a request with these attempts and one more, and that last attempt, which the rules check."""
     body = Body(MemoryBudget())
     body.complete = True
     parsed = ParsedRequest(b"a", 0, 0, 7, 1.0, 1, 0, 1_000_000, NOW, False, b"", body)
@@ -143,8 +143,8 @@
     return client_request, client_request.attempts[-1]
 
 
-def ended_attempt(outcome: Outcome, ago: int = 100_000) -> Attempt:
-    attempt = Attempt(0, 1, NOW - ago)
+def ended_attempt(outcome: Outcome, age: int = 100_000) -> Attempt:
+    attempt = Attempt(0, 1, NOW - age)
     attempt.ended, attempt.outcome = True, outcome
     return attempt
 
@@ -164,9 +164,9 @@
 
 def test_a_retry_with_key_is_denied_if_a_delayed_write_could_miss_the_window() -> None:
     cls = replace(CLASS, idempotency=Idempotency.WITH_KEY, deduplication_window=1_000_000)
-    for ago, expected in ((999_999 - WRITE_DELAY, None), (1_000_000 - WRITE_DELAY, Denial.WINDOW_OVER)):
+    for age, expected in ((999_999 - WRITE_DELAY, None), (1_000_000 - WRITE_DELAY, Denial.WINDOW_OVER)):
         request_and_attempt = request_with(
-            ended_attempt(Outcome.RESET, ago), ended_attempt(Outcome.REJECTED, 10)
+            ended_attempt(Outcome.RESET, age), ended_attempt(Outcome.REJECTED, 10)
         )
         assert (
             denial(*request_and_attempt, cls, replace(SETTINGS.limits, max_attempts=3), NOW, DEADLINE)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
 def test_a_start_that_has_just_been_reported_never_counts_as_older_than_it_is(clock_offset: int) -> None:
-    """Nor does any other start; `clock_offset` is this process's wall clock minus the fleet's, in us."""
+    """Starts reported earlier must not either; `clock_offset` is this wall clock minus the fleet's, in us."""
     starts, reported = StartTimes(), {"a": NOW - 8 * SECOND, "b": NOW - SECOND, "c": NOW - 60 * SECOND}
     for start in reported.values():
         starts.observe(start, NOW + clock_offset)
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
 def test_a_start_ages_from_its_report_on(clock_offset: int) -> None:
-    """Therefore no endpoint stays cold beyond one warm-up, however wrong the wall clock is."""
+    """Guards against an endpoint that stays cold beyond its warm-up because of a wrong wall clock."""
     starts = StartTimes()
     first = age(starts, "a", NOW - SECOND, NOW + clock_offset)
     assert age(starts, "a", NOW - SECOND, NOW + clock_offset + 30 * SECOND) == first + 30 * SECOND
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
 def test_a_later_start_gives_a_lower_bound_of_the_age_of_others(clock_offset: int) -> None:
-    """As in a process started during a release: its first list is old, the next reported start is recent."""
+    """Models a process started during a release: its first list is old, the next reported start is recent."""
     starts, clock = StartTimes(), NOW + clock_offset
     starts.observe(NOW - 20 * SECOND, clock)
     assert age(starts, "a", NOW - 20 * SECOND, clock) <= 20 * SECOND
@@ -111,7 +111,7 @@
         starts.observe(start, NOW + clock_offset)
     for name, start in reported.items():
         assert 0 <= age(starts, name, start, NOW + clock_offset) <= NOW - start + SECOND // 2
-        if clock_offset == 0:  # a correct clock never makes it too great
+        if clock_offset == 0:  # with a correct clock, the age is never too great
             assert age(starts, name, start, NOW) <= NOW - start
 
 
@@ -123,7 +123,7 @@
 
 
 def test_a_start_reported_as_earlier_than_the_previous_one_happens_now() -> None:
-    """The clock from which the start was read has been stepped back."""
+    """The clock that the start was read from has been set back."""
     starts = StartTimes()
     starts.local_start("a", NOW, NOW)
     assert age(starts, "a", NOW - HOUR, NOW + 30 * SECOND) == 0
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("clock_offset", CLOCK_OFFSETS)
 def test_an_endpoint_put_online_by_operators_starts_then(clock_offset: int) -> None:
-    """That time is on this machine's own clock and must not raise the age of other endpoints."""
+    """That time is read from this machine's clock and must not raise the age of other endpoints."""
     script, clock = Script(), NOW + clock_offset
     loop = asyncio.new_event_loop()
     engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
@@ -155,7 +155,7 @@
     assert clock - started[hash_key("c")] <= SECOND
     assert started.get(hash_key("a"), clock - SECOND) == clock - SECOND  # put online one second ago
     clock += 30 * SECOND
-    started = update(("a", NOW + 50 * SECOND), is_snapshot=False)  # restarted since
+    started = update(("a", NOW + 50 * SECOND), is_snapshot=False)  # restarted meanwhile
     assert clock - started[hash_key("a")] <= SECOND
     loop.close()
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -20,7 +20,7 @@
 REQUEST_COUNT = 60
 MAX_ATTEMPTS = 6  # calls of concurrent requests interleave, so that a retry may meet a failing call again
 SETTINGS_WITH_ATTEMPTS = RAW | {"ceilings": RAW["ceilings"] | {"max_attempts": MAX_ATTEMPTS}}
-ENDPOINT_COUNT = 32  # whose concurrency limits together admit all requests at once on a slow machine
+ENDPOINT_COUNT = 32  # their concurrency limits together admit all requests at once, even on a slow machine
 CONNECTION_FAILED = [errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EPERM]
 SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
@@ -151,8 +151,8 @@
 async def test_a_broken_connection_fails_only_its_own_request(
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
-    """Reads of clients' sockets fail, too, which disconnects those clients. All others are served, and no
-    client gets two answers or another client's answer."""
+    """Reads of clients' sockets fail as well, which disconnects those clients. All others are served, and no
+    client gets two responses or another client's response."""
     async with Process(tmp_path, faults, backend) as process:
         faults.set(Call.READ, error, 11)
         statuses = await process.send_requests(REQUEST_COUNT)
--- a/tests/test_upgrade_process.py
+++ b/tests/test_upgrade_process.py
@@ -49,7 +49,7 @@
 async def test_system_calls_that_fail_in_the_shared_directory_only_delay_an_upgrade(
     tmp_path: Path, call: Call, error: int
 ) -> None:
-    """System calls fail as a real process starts to listen for a successor: it serves, and is found later."""
+    """Calls fail as a process starts to listen for a successor: it serves, and is found later."""
     faults = Faults(build(tmp_path), tmp_path / "faults")
     path, directory = tmp_path / "config.json", tmp_path / "shared"
     directory.mkdir()
@@ -189,7 +189,7 @@
 async def test_a_process_stays_for_a_while_after_the_handover_to_serve_if_its_successor_dies(
     tmp_path: Path,
 ) -> None:
-    """If the old process ended immediately, no process would serve after an early death of the successor."""
+    """Guards against an old process that ends immediately: none would serve if the successor died early."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_document()))
     with SharedListener(tmp_path) as shared:
@@ -222,14 +222,14 @@
     new = await shared.serve(path, EDGE_ADMIN=f"{HOST}:{new_admin}")
     assert await operators_call(new_admin, "GET /control/ready") == 200
     server.on_data = respond_with(OK)
-    for number in range(4):  # s-2, were it not banned, would refuse them; the old process accepts none
+    for number in range(4):  # s-2 is banned and would refuse them; the old process accepts none
         answer = await fetch(shared.port, request(f"new{number}", "order", Cookie=f"customer={number:016x}"))
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in answer
     server.on_data(server.peers[0])
     answer = await read_response(reader)
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
     writer.close()
-    _, errors = await asyncio.to_thread(old.communicate, timeout=60)  # ends with no request left
+    _, errors = await asyncio.to_thread(old.communicate, timeout=60)  # ends once it has no request left
     assert old.returncode == 0 and "Traceback" not in errors
     assert await operators_call(new_admin, "POST /control/backends/s-2/online") == 200
     assert (await fetch(shared.port, UP)).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -43,7 +43,7 @@
 async def test_a_silent_watch_is_reopened_without_a_wait_in_a_large_fleet(
     waits: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also after repeated silence: once discovery returns, the agent sends changes only to the open watch."""
+    """The same holds after repeated silence: a recovered agent sends changes only to the open watch."""
     for module in (watch_connection, watch_retry):
         monkeypatch.setattr(module, "HEARTBEAT_TIMEOUT", 0.05)
     agent = DiscoveryAgent(WATCH_HEAD + chunk(list_line(list_document(42, False))))
@@ -92,7 +92,7 @@
 
 
 async def test_a_watch_that_ends_without_a_line_is_followed_by_a_snapshot(waits: list[float]) -> None:
-    """Otherwise a discovery that sends only empty watches would be called forever without any change."""
+    """Guards against endless calls to a discovery that sends only empty watches: no change would arrive."""
     ends = WATCH_HEAD + b"0\r\n\r\n"
     agent = DiscoveryAgent(
         ends, snapshot_answer(list_line(list_document(43, True, a="draining"))), WATCH_HEAD
@@ -133,7 +133,7 @@
     assert not received and watch.version == 4
     watch.receive_from_peer(decode_endpoint_list(list_document(5, False, a="up")), base_version=4)
     watch.receive_from_peer(decode_endpoint_list(list_document(6, False, a="draining")), base_version=5)
-    # Repeated by this process's own watch:
+    # The same delta, repeated by this process's watch:
     watch.receive(decode_endpoint_list(list_document(5, False, a="up")))
     watch.receive(decode_endpoint_list(list_document(6, False, a="draining")))
     watch.receive(decode_endpoint_list(list_document(7, False, b="draining")))
--- a/tests/test_watch_connection.py
+++ b/tests/test_watch_connection.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("part_size", [1, 7, 10_000])
 async def test_indented_snapshots_and_deltas_are_read_however_they_are_split(part_size: int) -> None:
-    """Guards against rejecting indented lists: after a reload, one was then requested ten times a second."""
+    """Guards against rejecting indented lists: after a reload, the list was requested ten times a second."""
     first, second = list_document(5, True, a="up", **{'b{"[': "up"}), list_document(6, False, a="draining")
     lines = list_line(first, 2)
     stream = list_line(second, 2) + b"\n" + list_line(list_document(7, False, a="up"), 1)
--- a/tests/test_watch_retry.py
+++ b/tests/test_watch_retry.py
@@ -17,7 +17,7 @@
     WatchRetryPolicy,
 )
 
-PROCESSING_TIME = 0.4  # s reserved for the successful call: an ingress may have a twentieth of a core
+PROCESSING_TIME = 0.4  # s reserved for the successful call: an ingress may have 1/20 of a core
 FAULTS = ("connect hangs", "silent", "empty", "malformed", "rejected")
 DURATIONS = {
     "connect hangs": CONNECT_TIMEOUT,
@@ -40,10 +40,10 @@
 def delay_of_change(
     retry: WatchRetryPolicy, changed_at: float, before: Sequence[str], after: Sequence[str]
 ) -> float:
-    """Seconds from `changed_at`, when discovery has a change and is reachable, to the successful call.
+    """Returns the seconds from `changed_at` to the successful call.
 
-    A watch falls silent at 0. Calls begun before the change fail with the faults in `before`, cyclically;
-    later calls fail with those in `after`, once each.
+    At `changed_at`, discovery has a change and is reachable. A watch falls silent at 0. Calls begun before
+    the change fail with the faults in `before`, cyclically; later calls fail with those in `after`, once each.
     """
     now = 0.0
     faults_before = itertools.cycle(before)
@@ -62,7 +62,7 @@
 
 
 def longest_delay(fleet_size: int, faults: Sequence[str], before: Sequence[str], max_faults: int) -> float:
-    """The longest delay over all sequences of faults and all times of the change.
+    """Returns the longest delay over all sequences of faults and all times of the change.
 
     Before the change, up to three faults of `before` recur cyclically; after it, up to `max_faults` different
     ones of `faults` occur.
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("fleet_size", [3, 7000])
 def test_a_change_is_in_force_in_time_once_calls_are_no_longer_queued_and_rejected(fleet_size: int) -> None:
-    """One connect may hang in addition."""
+    """In addition, one connect may hang."""
     assert (
         longest_delay(fleet_size, ["connect hangs"], ["queued and rejected", "connect hangs", "rejected"], 1)
         <= NOTIFICATION_DEADLINE - PROCESSING_TIME
@@ -107,7 +107,7 @@
 
 
 def notification_times(fleet_size: int, capacity: float, queueing: str, seed: int) -> list[float]:
-    """Times at which the ingresses are notified if all watches end at 0, in order.
+    """Returns, in order, the times at which the ingresses are notified if all watches end at 0.
 
     `capacity` is in calls per second. A call that would wait in the queue for over 2 s is rejected:
     immediately (`at once`), after 2 s (`held`), or at its turn, which takes up capacity (`wasted`).
