--- a/tests/support/fake_network.py
+++ b/tests/support/fake_network.py
@@ -15,7 +15,7 @@
 from quota_ingress.policy.events import Event, Outcome, RequestArrived
 from tests.net_helpers import RAW, SETTINGS, Script
 
-START = 1_000_000_000
+START = 1_000_000_000  # us
 
 
 class FakeTimer:
--- a/tests/test_watch_retry.py
+++ b/tests/test_watch_retry.py
@@ -43,7 +43,7 @@
     """Returns the seconds from `changed_at` to the successful call.
 
     At `changed_at`, discovery has a change and is reachable. A watch falls silent at 0. Calls begun before
-    the change fail with the faults in `before`, cyclically; later calls fail with those in `after`, once each.
+    the change fail with the faults in `before`, cyclically; later ones with those in `after`, once each.
     """
     now = 0.0
     faults_before = itertools.cycle(before)
