--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -100,7 +100,9 @@
 def known_red() -> dict[str, str]:
     """Returns the cause and issue of each listed test by its id."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
-    return {test.strip(): why.strip() for test, _, why in (line.partition(" | ") for line in lines if line)}
+    return {
+        test.strip(): cause.strip() for test, _, cause in (line.partition(" | ") for line in lines if line)
+    }
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -117,5 +119,5 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for test, why in known_red().items():
-        terminalreporter.write_line(f"known red: {test}: {why}")
+    for test, cause in known_red().items():
+        terminalreporter.write_line(f"known red: {test}: {cause}")
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -75,11 +75,11 @@
     client.close()
 
 
-MANY = b"".join(request(f"r{n}") for n in range(12))  # more than are read ahead
+PIPELINED_REQUESTS = b"".join(request(f"r{n}") for n in range(12))  # more than the ingress reads ahead
 
 
 @pytest.mark.parametrize("close_type", ["closes", "resets"])
-@pytest.mark.parametrize("data", [request("r0"), MANY], ids=["one", "many"])
+@pytest.mark.parametrize("data", [request("r0"), PIPELINED_REQUESTS], ids=["one", "many"])
 @pytest.mark.parametrize("trigger", ["by the counter's answer", "by a timer", "after an outcome"])
 async def test_no_attempt_begins_after_a_disconnect(
     ingress: Ingress, backend: PeerServer, trigger: str, data: bytes, close_type: str
@@ -103,7 +103,7 @@
     await ingress.script.wait_for_events(RequestArrived)
     ids_before = [] if "counter" in trigger else [b"r0"]
     await backend.wait_until(lambda: received_request_ids(backend) == ids_before)
-    if data is MANY:
+    if data is PIPELINED_REQUESTS:
         (connection,) = ingress.listener.connections
         while not connection._read_flow.paused:
             await asyncio.sleep(0)
@@ -145,7 +145,7 @@
     ingress.script.rule = lambda event: (
         [SendAttempt(1, 1, 0)] if isinstance(event, RequestArrived) and event.request == 1 else []
     )
-    client = connect_client(ingress, MANY)
+    client = connect_client(ingress, PIPELINED_REQUESTS)
     async with asyncio.timeout(10):
         await dial_started.wait()
         disconnect(client, close_type)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -24,7 +24,7 @@
 from tests.process_helpers import ROOT, answer_as_counter, config_document, fetch, listening_port
 
 LIMIT = 256  # descriptors, the lowest limit that the platform may set
-CROWD = 2 * LIMIT
+IDLE_CLIENT_COUNT = 2 * LIMIT
 HEARTBEAT_S = 0.5
 
 
@@ -126,7 +126,7 @@
             for peer in agent.peers:
                 peer.transport.abort()
         process.send_signal(signal.SIGSTOP)  # so that all clients arrive in one iteration of its event loop
-        tasks += [asyncio.create_task(run_idle_client(port)) for _ in range(CROWD)]
+        tasks += [asyncio.create_task(run_idle_client(port)) for _ in range(IDLE_CLIENT_COUNT)]
         await asyncio.sleep(0.5)
         process.send_signal(signal.SIGCONT)
         await asyncio.sleep(4)  # past the watch's heartbeat timeout; closed clients have reconnected
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -22,7 +22,7 @@
 SETTINGS_WITH_ATTEMPTS = RAW | {"ceilings": RAW["ceilings"] | {"max_attempts": MAX_ATTEMPTS}}
 ENDPOINT_COUNT = 32  # their concurrency limits together admit all requests at once, even on a slow machine
 CONNECTION_FAILED = [errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EPERM]
-SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+RESOURCES_EXHAUSTED = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
 @pytest.fixture(scope="module")
@@ -86,7 +86,9 @@
         return self.popen.returncode, errors
 
 
-@pytest.mark.parametrize("error", [*CONNECTION_FAILED, *SHORTAGE, errno.EINTR], ids=errno.errorcode.get)
+@pytest.mark.parametrize(
+    "error", [*CONNECTION_FAILED, *RESOURCES_EXHAUSTED, errno.EINTR], ids=errno.errorcode.get
+)
 async def test_failing_accept_calls_lose_no_waiting_request(
     tmp_path: Path, faults: Faults, backend: PeerServer, error: int
 ) -> None:
