--- a/ingress_testbed/hosts.py
+++ b/ingress_testbed/hosts.py
@@ -56,7 +56,7 @@
         self._discovery.abort_watches()
 
     def counts(self) -> dict[str, int]:
-        """Returns totals since the start, and the current `watches`, `version` and `unsent` bytes to watches."""
+        """Returns totals since the start, and the current `watches`, `version` and `unsent` bytes."""
         discovery = self._discovery
         return {
             "watches": len(discovery.watches),
--- a/ingress_testbed/quota_day.py
+++ b/ingress_testbed/quota_day.py
@@ -182,7 +182,7 @@
         counts: Number of requests and counter calls, by kind. `tries` are requests that reached a gateway,
             `asks` counter calls that add units and `given back` those that return units.
         priced_totals: Prices of the first requests that an exact bucket admits (`offered`), prices of the
-            requests that the fleet sent inside the quotas (`inside`), and costs of those sent beyond (`over`).
+            requests that the fleet sent inside the quotas (`inside`), and costs of those beyond (`over`).
     """
 
     fleet_size: int = 200
