--- a/quota_ingress/net/engine/endpoint_registry.py
+++ b/quota_ingress/net/engine/endpoint_registry.py
@@ -40,7 +40,7 @@
         directory: All listed endpoints.
         numbers: Number by name of the endpoints in the subset; a number is never reused.
         subset: This gateway's subset of the list.
-        restored_at: Returns the time (us of the process's clock) at which operators put the named endpoint
+        back_online_at: Returns the time (us of the process's clock) at which operators put the named endpoint
             back into service; 0 if they have not.
     """
 
@@ -49,7 +49,7 @@
         self.directory = EndpointDirectory()
         self.numbers: dict[str, int] = {}
         self.subset = assign_subset(settings.gateway_index, settings.fleet_size, 0)
-        self.restored_at: Callable[[str], int] = lambda name: 0
+        self.back_online_at: Callable[[str], int] = lambda name: 0
         self._settings = settings
         self._index = index
         self._upstream = upstream
@@ -130,14 +130,14 @@
         """Returns endpoints outside `registered` that the start times in it show to be older than assumed."""
         older: set[str] = set()
         for entry, _ in registered:
-            if entry.started_us != self.restored_at(entry.name):
+            if entry.started_us != self.back_online_at(entry.name):
                 older.update(self._start_times.observe(entry.started_us, now))
         older -= {entry.name for entry, _ in registered}
         return [(self.directory[name], self.numbers[name]) for name in older if name in self.numbers]
 
     def _listed_endpoint(self, entry: EndpointEntry, number: int, now: int) -> ListedEndpoint:
         started_at = entry.started_us  # already on this process's clock if operators put the endpoint back
-        if started_at != self.restored_at(entry.name):
+        if started_at != self.back_online_at(entry.name):
             started_at = self._start_times.local_start(entry.name, entry.started_us, now)
         return ListedEndpoint(
             id=number,
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -51,7 +51,7 @@
         self.overrides = OperatorOverrides(
             self.clock.now, self.engine.update_endpoints, self.engine.directory
         )
-        self.engine.endpoints.restored_at = self.overrides.back_online_at
+        self.engine.endpoints.back_online_at = self.overrides.back_online_at
         self.listener = Listener(self.engine, self.descriptors, self.clock.now, self.memory)
         self.control_plane = ControlPlaneClients(self.engine, self.overrides, self._config)
         self.reloader = ConfigReloader(self.control_plane.apply, self.event_log)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -136,7 +136,7 @@
     loop = asyncio.new_event_loop()
     engine = Engine(script, SETTINGS, SettingsIndex(SETTINGS, RAW), FakeUpstream(), loop, lambda: clock)
     overrides = OperatorOverrides(lambda: clock, engine.update_endpoints, engine.directory)
-    engine.endpoints.restored_at = overrides.back_online_at
+    engine.endpoints.back_online_at = overrides.back_online_at
 
     def update(*starts: tuple[str, int], is_snapshot: bool) -> dict[str, int]:
         entries = [{"name": n, "address": ":1", "status": "up", "since_ms": at // 1000} for n, at in starts]
