--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -28,8 +28,11 @@
         self.evict = evict
         self.on_freed: Callable[[], None] = lambda: None
 
-    def has_capacity(self) -> bool:
-        """Returns whether one more connection may be opened; evicts another one if necessary."""
+    def ensure_capacity(self) -> bool:
+        """Evicts a connection if the limit is reached; returns whether one more may be opened.
+
+        An evicted connection may still count as in use until it has closed.
+        """
         return self.in_use < self.limit or self.evict()
 
     def acquire(self) -> None:
--- a/quota_ingress/net/downstream/connection.py
+++ b/quota_ingress/net/downstream/connection.py
@@ -59,7 +59,7 @@
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         with contextlib.suppress(OSError):  # larger buffers than requested are acceptable
             limit_socket_buffers(transport.get_extra_info("socket"))
-        self._over_limit = not self._host.descriptors.has_capacity()
+        self._over_limit = not self._host.descriptors.ensure_capacity()
         self._host.descriptors.acquire()
         self._message_started_at = self._host.now()
         self._stages.add(self, self._message_started_at)
--- a/quota_ingress/net/upstream/client.py
+++ b/quota_ingress/net/upstream/client.py
@@ -120,7 +120,7 @@
             exchange.fail()
             return exchange
         reuse_is_risky = non_idempotent and self._reuse_failures.value > MAX_REUSE_FAILURE_RATE
-        pool.send(exchange, new_connection=reuse_is_risky and self._descriptors.has_capacity())
+        pool.send(exchange, new_connection=reuse_is_risky and self._descriptors.ensure_capacity())
         return exchange
 
     def probe(self, backend: int, on_ended: ResultCallback) -> None:
--- a/quota_ingress/net/upstream/pool.py
+++ b/quota_ingress/net/upstream/pool.py
@@ -89,7 +89,7 @@
         descriptors = self._options.descriptors
         if not new_connection and (connection := self._take_idle()):
             connection.send(exchange)
-        elif descriptors.has_capacity():
+        elif descriptors.ensure_capacity():
             descriptors.acquire()
             self.dials.add(exchange)
             exchange.dial = self._loop.create_task(self._connect(exchange))
