--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -1,9 +1,10 @@
 """Coordinates an upgrade: a new process starts beside the serving process and takes over from it.
 
 The serving process listens on a Unix socket in the shared directory. A new process connects to it, asks for
-its state (`Question.HELLO`), prepares itself, and takes over (`Question.TAKE`). While both processes run,
-each forwards operators' calls and list changes to the other, because discovery may leave the other's own
-watch unanswered.
+its state (`Question.HELLO`), prepares itself, and takes over (`Question.TAKE_OVER`).
+
+While both processes run, each forwards operators' calls to the other, because a call reaches only one of
+them, and list changes, because discovery may leave the other's own watch unanswered.
 """
 
 from __future__ import annotations
@@ -113,7 +114,7 @@
 
         Returns None if no process was found, or it did not answer.
         """
-        return await self._ask(Question.TAKE)
+        return await self._ask(Question.TAKE_OVER)
 
     def listen_for_successor(self) -> None:
         """Listens for a new process; if that fails, tries again until `stop`."""
@@ -153,17 +154,21 @@
     # Implementation of ChannelHandler.
 
     def on_question(self, channel: UpgradeChannel, question: Question) -> Document:
-        """Returns the answer to a new process; raises MessageError for a second one or a repeated TAKE."""
+        """Returns the answer to the new process.
+
+        Raises:
+            MessageError: Another new process asked before, or TAKE_OVER is repeated.
+        """
         if self._channel not in (None, channel):
             raise MessageError("an upgrade channel to another process is open already")
         self._channel = channel
         match question:
             case Question.HELLO:
                 return self._describe(channel)
-            case Question.TAKE if not self._has_handed_over:
+            case Question.TAKE_OVER if not self._has_handed_over:
                 self._has_handed_over = True
                 return self._participant.hand_over()
-            case Question.TAKE:
+            case Question.TAKE_OVER:
                 raise MessageError("this process has handed over already")
 
     def on_list_part(self, entries: Mapping[str, PackedEntry]) -> None:
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -1,7 +1,7 @@
 """The messages between the two processes of an upgrade, and their codec: one JSON object per line.
 
 The keys, their order and the forms of the values must stay those of the versions in service: a process must
-be able to take over from an older version, and to hand over to it. The answer to `Question.TAKE` is the
+be able to take over from an older version, and to hand over to it. The answer to `Question.TAKE_OVER` is the
 policy's snapshot, which `quota_ingress.net.engine.snapshot_codec` encodes and decodes.
 
 The messages are NamedTuples, since each dataclass would add 0.7 ms to the program's start.
@@ -37,7 +37,7 @@
     """What the new process asks of the serving process."""
 
     HELLO = "hello"  # answered with ListParts, then a ServingState
-    TAKE = "take"  # answered with the policy's snapshot; the serving process stops accepting
+    TAKE_OVER = "take"  # answered with the policy's snapshot; the serving process stops accepting
 
 
 class Ask(NamedTuple):
--- a/tests/test_upgrade_messages.py
+++ b/tests/test_upgrade_messages.py
@@ -53,7 +53,7 @@
 
 
 def test_the_questions_of_the_previous_version() -> None:
-    assert messages("questions.jsonl") == [Ask(Question.HELLO), Ask(Question.TAKE)]
+    assert messages("questions.jsonl") == [Ask(Question.HELLO), Ask(Question.TAKE_OVER)]
 
 
 def test_the_operators_state_of_the_previous_version_is_restored_and_encoded_again() -> None:
