--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -17,7 +17,7 @@
 from quota_ingress.net.acceptor import Acceptor, listening_socket
 from quota_ingress.net.http import FramingError, HttpConnection, MemoryBudget, Message, RequestReader
 
-LIST_WAIT_SECONDS = 0.7  # at start, until a call is answered without the endpoint list and the bans
+LIST_WAIT_SECONDS = 0.7  # at start; a call is then answered without the previous endpoint list and bans
 CALL_TIMEOUT_SECONDS = 3.0  # for a call to arrive completely
 READY_PATH = "/control/ready"
 OUT_OF_SERVICE_PATH = "/control/out-of-service"
@@ -98,8 +98,8 @@
         self._controls = controls
         self._max_connections = max_connections
         self._acceptor: Acceptor | None = None
-        self._is_list_known = False
-        self._deferred: list[Callable[[], None]] = []  # answers that wait until the list is known
+        self._is_previous_state_applied = False
+        self._deferred: list[Callable[[], None]] = []  # answers that wait for the previous state
         self._routes = {
             READY_PATH: Route("GET", self._ready),
             OUT_OF_SERVICE_PATH: Route("POST", partial(self._drain, True)),
@@ -136,26 +136,29 @@
         if timer := self.connections.pop(connection, None):
             timer.cancel()
 
-    def on_list_known(self) -> None:
-        """Answers the deferred calls, now that the endpoint list and any bans of a predecessor are known."""
-        self._is_list_known = True
+    def on_previous_state_applied(self) -> None:
+        """Answers the deferred calls. Is called at start, also if there is no previous state.
+
+        The previous state is the predecessor's endpoint list, bans and drain, or the configuration's list.
+        """
+        self._is_previous_state_applied = True
         deferred = self._deferred
         self._deferred = []
         for answer in deferred:
             answer()
 
     def on_call(self, connection: AdminConnection, method: bytes, target: bytes) -> None:
-        """Answers a call; at start, waits up to LIST_WAIT_SECONDS for the endpoint list.
+        """Answers a call; at start, waits up to LIST_WAIT_SECONDS for `on_previous_state_applied`.
 
-        Before the list is known, a listed endpoint would be answered as unknown, and the predecessor's state
-        would undo a ban. Calls of READY_PATH do not wait.
+        Before that, a listed endpoint would be answered as unknown, and a ban would be undone when the
+        predecessor's state is restored. Calls to READY_PATH do not wait.
         """
 
         def answer() -> None:
             if connection in self.connections:
                 connection.answer(self._carry_out(method, target))
 
-        if self._is_list_known or target == READY_PATH.encode():
+        if self._is_previous_state_applied or target == READY_PATH.encode():
             answer()
         else:
             self._deferred.append(answer)
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -70,7 +70,7 @@
             log.info("operators: listening for calls at %s:%d", config.admin.host, port)
         has_predecessor = await self._upgrade.find_predecessor() if self._upgrade else False
         self.control_plane.start(self._apply_previous_list())
-        self.admin.on_list_known()
+        self.admin.on_previous_state_applied()
         await self.control_plane.wait_for_list(LIST_WAIT_SECONDS)
         if has_predecessor:
             await self._take_over()
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -157,7 +157,7 @@
         """Returns the answer to the new process.
 
         Raises:
-            MessageError: Another new process asked before, or TAKE_OVER is repeated.
+            MessageError: A channel to another process is open, or TAKE_OVER is repeated.
         """
         if self._channel not in (None, channel):
             raise MessageError("an upgrade channel to another process is open already")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.controls = RecordingControls()
         self.admin = AdminServer(self.controls, 3)
-        self.admin.on_list_known()
+        self.admin.on_previous_state_applied()
         self.port = 0
 
     async def call(self, line: str) -> int:
