--- a/quota_ingress/net/lifecycle/control_plane.py
+++ b/quota_ingress/net/lifecycle/control_plane.py
@@ -17,7 +17,7 @@
 
 RELOAD_DEADLINE_SECONDS = 4.0  # after SIGHUP, until the new discovery's endpoint list must be in use
 COUNTER_SWITCH_SECONDS = 1.0  # after SIGHUP; below the 1.5 s after which the old counter closes connections
-MAX_FORWARDED_ENTRIES = 10_000  # of a list forwarded to the other process of an upgrade: about 2 MB
+MAX_FORWARDED_ENTRIES = 10_000  # in a list change; a longer one is not forwarded. About 2 MB
 
 
 class ControlPlaneClients:
--- a/quota_ingress/net/lifecycle/graceful_shutdown.py
+++ b/quota_ingress/net/lifecycle/graceful_shutdown.py
@@ -11,17 +11,17 @@
 
 ACCEPT_SECONDS = 0.55  # after SIGTERM; new connections keep arriving for 0.4 s
 MAX_DEADLINE_SECONDS = 3.0  # the longest request deadline that the platform waits for
-DEADLINE_MARGIN_SECONDS = 0.4  # the platform's wait beyond that deadline, less a margin
-LAST_ANSWERS_SECONDS = 0.15  # after both, to write the last responses
+DEADLINE_MARGIN_SECONDS = 0.4  # beyond that deadline; less than the platform waits
+LAST_ANSWERS_SECONDS = 0.15  # after deadline and margin, to write the last responses
 IDLE_CHECK_SECONDS = 0.01
-CLOSE_SECONDS = 0.03  # for the event loop to finish closing connections
+CLOSE_SECONDS = 0.03  # at most, for the event loop to finish closing connections
 
 
 async def finish_requests(engine: Engine, listener: Listener) -> None:
     """Accepts for ACCEPT_SECONDS, finishes accepted requests, and returns before the process is killed.
 
-    Requests still open at the end are failed. After an upgrade, the successor accepts new connections and
-    this process accepts none.
+    Requests still open at the end are ended as failed. After an upgrade, the successor accepts new
+    connections and this process accepts none.
     """
     loop = asyncio.get_running_loop()
     longest_deadline = max(request_class.deadline for request_class in engine.settings.classes) / 1e6
@@ -40,7 +40,7 @@
 
 
 async def report_leaks(open_counts: Mapping[str, Callable[[], int]], event_log: EventLog) -> None:
-    """Reports resources that still count as open after everything was closed: they have leaked.
+    """Reports resources that still count as open although everything was closed, as they have leaked.
 
     Args:
         open_counts: Functions that return the number of open resources, by their name in the report.
--- a/quota_ingress/net/lifecycle/ingress.py
+++ b/quota_ingress/net/lifecycle/ingress.py
@@ -27,7 +27,7 @@
 from quota_ingress.policy.endpoint_list import ListKind
 from quota_ingress.policy.gateway import Gateway
 
-LIST_WAIT_SECONDS = 0.3  # at start; the discovery agent on this machine has the list at once, or is silent
+LIST_WAIT_SECONDS = 0.3  # at start; the local discovery agent sends the list at once or not at all
 COUNTER_WAIT_SECONDS = 0.5  # for the first counter connection at start, while a predecessor still serves
 
 log = logging.getLogger("quota_ingress")
@@ -40,7 +40,7 @@
         """Builds the parts; opens no connection or listener before `start`."""
         operator_descriptors = ADMIN_DESCRIPTORS if config.admin else 0
         self._config = replace(config, known_endpoints=None)
-        self._known_endpoints = config.known_endpoints  # released once applied: a long list is not held twice
+        self._known_endpoints = config.known_endpoints  # released once applied, to hold a long list only once
         self.stopping = asyncio.Event()  # set by a signal, or once all requests are finished after an upgrade
         self.clock = Clock()
         self.event_log = EventLog.from_environment()
@@ -60,9 +60,11 @@
         self._upgrade = self._build_upgrade_coordinator()
 
     async def start(self) -> None:
-        """Returns once client connections are accepted; a predecessor serves until then.
+        """Returns once client connections are accepted.
 
-        The operators' interface starts first, so that no later step delays it.
+        A predecessor accepts them until shortly before; those made in between wait in the accept queue. The
+        operators' interface starts first, so that no later step delays the answers about readiness; other
+        calls wait until the previous state is applied.
         """
         config = self._config
         if config.admin:
@@ -100,7 +102,7 @@
             "requests": lambda: self.engine.unfinished_count,
             "client connections": lambda: self.descriptors.clients.in_use,
             "backend connections": lambda: self.descriptors.backends.in_use,
-            "bytes": lambda: self.memory.used,
+            "bytes": lambda: self.memory.used,  # of buffered bodies
         }
         await report_leaks(open_counts, self.event_log)
         self.event_log.event("process", "ended")
@@ -109,18 +111,25 @@
     # Operators' calls: see OperatorControls.
 
     def ready(self) -> bool:
-        """Returns whether a request that arrives now would be served."""
+        """Returns whether this process accepts connections, and any endpoint accepts requests.
+
+        A process that is stopping or has handed over is not ready. Quotas, concurrency limits and a drain by
+        operators are not considered.
+        """
         return self.listener.is_accepting and not self.listener.stopping and self.engine.can_send
 
     def take_offline(self, name: str) -> bool:
-        """Bans an endpoint; returns False if it was never listed."""
+        """Bans an endpoint; returns False if it is unknown.
+
+        It is known if it is listed or banned, or if its name is recorded, as the latest removed names are.
+        """
         is_known = self.overrides.take_offline(name)
         if is_known:
             self._notify_other_process(EndpointCall(name, is_offline=True))
         return is_known
 
     def put_online(self, name: str) -> bool:
-        """Ends an endpoint's ban; returns False if it was never listed."""
+        """Ends an endpoint's ban; returns False if the endpoint is unknown, as in `take_offline`."""
         is_known = self.overrides.put_online(name)
         if is_known:
             self._notify_other_process(EndpointCall(name, is_offline=False))
@@ -139,10 +148,12 @@
 
     def _build_engine(self) -> Engine:
         config = self._config
-        names = SettingsIndex(config.settings, config.settings_document)
+        settings_index = SettingsIndex(config.settings, config.settings_document)
         gateway = Gateway(config.settings, config.seed)
         loop = asyncio.get_running_loop()
-        return Engine(gateway, config.settings, names, self.upstream, loop, self.clock.now, self.event_log)
+        return Engine(
+            gateway, config.settings, settings_index, self.upstream, loop, self.clock.now, self.event_log
+        )
 
     def _build_upstream(self) -> UpstreamClient:
         settings = self._config.settings
@@ -156,7 +167,7 @@
         )
 
     def _build_upgrade_coordinator(self) -> UpgradeCoordinator | None:
-        """Returns None unless the platform holds the listening socket and there is a shared directory."""
+        """Returns None unless the listening socket is inherited and there is a shared directory."""
         if self._config.inherited_listener is None or not self._config.shared_directory:
             return None
         coordinator = UpgradeCoordinator(self._upgrade_process, self._config.shared_directory)
@@ -169,7 +180,10 @@
         )
 
     def _apply_previous_list(self) -> int | None:
-        """Applies the previous process's endpoint list, if known, and returns its version."""
+        """Applies the endpoint list restored from the predecessor, or else the configuration's.
+
+        Returns its version, or None if there is neither.
+        """
         restored = self._upgrade_process.take_restored_list()
         previous_list = self._known_endpoints if restored is None else restored
         self._known_endpoints = None
--- a/quota_ingress/net/lifecycle/upgrade.py
+++ b/quota_ingress/net/lifecycle/upgrade.py
@@ -39,7 +39,7 @@
 
 
 class UpgradeParticipant(Protocol):
-    """What a process does on its side of an upgrade."""
+    """What UpgradeCoordinator needs of its own process: to read its state, change it, and hand over."""
 
     def serving_state(self) -> ServingState:
         """Returns this process's state, without the entries of the endpoint list."""
@@ -63,14 +63,14 @@
         """Applies a list change that discovery has sent to the other process."""
 
     def share_descriptors(self, with_other: bool) -> None:
-        """Uses half of the descriptors if `with_other`: another process has the same limit; else all."""
+        """Uses half of the descriptors if `with_other`, as the limit is for both processes; else all."""
 
     def on_successor_lost(self) -> None:
         """Serves again: the process that took over has ended."""
 
 
 class UpgradeCoordinator:
-    """One process's side of an upgrade.
+    """The protocol of an upgrade: finds a predecessor or awaits a successor, and exchanges messages with it.
 
     A new process calls `find_predecessor` and `take_over`; the serving process calls `listen_for_successor`.
     """
@@ -79,7 +79,7 @@
         """Opens no socket yet.
 
         Args:
-            participant: This process.
+            participant: This process, which acts on the messages.
             directory: A directory shared by all processes of this ingress.
         """
         self._participant = participant
@@ -87,14 +87,15 @@
         self._own_path = f"{self._path}.{os.getpid()}"
         self._has_handed_over = False
         self._channel: UpgradeChannel | None = None  # to the other process; None if there is none
-        self._other_has_list = False  # both processes hold the same endpoint list
+        self._other_has_list = False  # one process has sent its list, so changes to it are forwarded
         self._acceptor: Acceptor | None = None
         self._listen_retry: asyncio.TimerHandle | None = None
 
     async def find_predecessor(self) -> bool:
         """Connects to the serving process, and restores its state into the participant.
 
-        Returns False if there is no serving process, or it does not answer.
+        Returns False if there is no serving process, or it does not answer. An answer that cannot be restored
+        is logged; the result is True all the same, so that this process takes over without that state.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -134,14 +135,14 @@
             self._channel.send(call)
 
     def send_list_change(self, change: EndpointListChange) -> None:
-        """Forwards a list change from discovery, if the other process holds the list that it applies to."""
+        """Forwards a list change from discovery, if the other process has a list to apply it to."""
         if self._channel and self._other_has_list:
             self._channel.send(change)
 
     def stop(self) -> None:
         """Closes the channel and stops listening.
 
-        The socket's file stays: it is stale, or belongs to the next process.
+        The shared socket's file stays: it is stale, or belongs to the successor.
         """
         self._stop_listening()
         channel = self._channel
@@ -164,7 +165,7 @@
         self._channel = channel
         match question:
             case Question.HELLO:
-                return self._describe(channel)
+                return self._answer_hello(channel)
             case Question.TAKE_OVER if not self._has_handed_over:
                 self._has_handed_over = True
                 return self._participant.hand_over()
@@ -193,9 +194,9 @@
         if self._has_handed_over:
             self._has_handed_over = False
             self._participant.on_successor_lost()
-            self.listen_for_successor()  # the successor may have bound the same name
+            self.listen_for_successor()  # the successor may have replaced the socket at the shared path
 
-    def _describe(self, channel: UpgradeChannel) -> Document:
+    def _answer_hello(self, channel: UpgradeChannel) -> Document:
         self._participant.share_descriptors(with_other=True)
         for entries in self._participant.list_parts():
             channel.send(ListPart(entries))
@@ -220,7 +221,7 @@
             return None
 
     def _listen(self) -> Acceptor:
-        """Listens under a private name, then renames it: the shared name must lead to a listening socket."""
+        """Listens on a private path, then renames it: the shared path must lead to a listening socket."""
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with contextlib.suppress(FileNotFoundError):
--- a/quota_ingress/net/lifecycle/upgrade_channel.py
+++ b/quota_ingress/net/lifecycle/upgrade_channel.py
@@ -1,6 +1,7 @@
 """One connection between the two processes of an upgrade, over a Unix socket.
 
-The connection stays open while both processes run; its end tells each process that the other has ended.
+The connection stays open while both processes run; each process takes its end as the
+end of the other.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
     encode,
 )
 
-MAX_LINE_BYTES = 16 * 1024 * 1024
+MAX_LINE_BYTES = 16 * 1024 * 1024  # of a line that has no end yet
 ANSWER_TIMEOUT_SECONDS = 1.5  # per question; a new process must serve within 6 s of its start
 
 log = logging.getLogger(__name__)
@@ -77,7 +78,11 @@
         self._handler.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """See asyncio.Protocol. A line that cannot be decoded closes the channel."""
+        """See asyncio.Protocol.
+
+        A message that cannot be decoded or is refused closes the channel. Exceptions are list changes that
+        cannot be decoded and unknown kinds of messages: these are ignored.
+        """
         self._unread += data
         *lines, unread = self._unread.split(b"\n")
         self._unread = bytearray(unread)
--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -26,7 +26,7 @@
 
 
 class MessageError(ValueError):
-    """A line is not a message of this version: a field is missing, unknown or of the wrong type."""
+    """A message cannot be accepted: its version or a field is not valid, or its question is refused."""
 
 
 class EndpointListChangeError(MessageError):
@@ -117,7 +117,7 @@
 
     Raises:
         EndpointListChangeError: A list change cannot be decoded; the channel can go on without it.
-        MessageError: The line cannot be decoded.
+        MessageError: Anything else cannot be decoded.
     """
     try:
         document = json.loads(line)
@@ -180,7 +180,7 @@
 
 
 def _decode_entries(entries: Mapping[str, str]) -> dict[str, PackedEntry]:
-    """Returns the entries as this version packs them; raises one of DECODE_ERRORS for a bad entry."""
+    """Returns the entries as this version packs them; raises one of DECODE_ERRORS for an invalid entry."""
     return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
--- a/quota_ingress/net/lifecycle/upgrade_process.py
+++ b/quota_ingress/net/lifecycle/upgrade_process.py
@@ -24,7 +24,7 @@
     ServingState,
 )
 
-STANDBY_SECONDS = 1.0  # that a process runs on after the handover: its successor may die during its start
+STANDBY_SECONDS = 1.0  # minimum run time after handing over, since the successor may fail during its start
 IDLE_CHECK_SECONDS = 0.01
 
 log = logging.getLogger("quota_ingress")
@@ -49,7 +49,7 @@
 
         Args:
             parts: The parts of this process whose state is handed over, restored or changed.
-            stopping: Is set once this process has handed over and finished all requests.
+            stopping: Set by this object once this process has handed over and finished all requests.
         """
         self._parts = parts
         self._stopping = stopping
@@ -57,7 +57,7 @@
         self._restored_list: EndpointList | None = None
 
     def take_restored_list(self) -> EndpointList | None:
-        """Returns the predecessor's endpoint list on the first call; None if none was restored."""
+        """Returns the predecessor's endpoint list and releases it; None if there is none (any more)."""
         restored = self._restored_list
         self._restored_list = None
         return restored
@@ -121,7 +121,7 @@
         self._parts.listener.hard_limit = self._parts.descriptors.client_hard_limit
 
     def on_successor_lost(self) -> None:
-        """Serves again, unless this process is stopping, too."""
+        """Serves again, unless this process is itself stopping."""
         if self._stopping.is_set():
             return
         log.warning("upgrade: the process that took over has ended, accepting connections again")
@@ -133,7 +133,7 @@
     async def _exit_when_finished(self) -> None:
         """Ends the process once its requests are finished, after STANDBY_SECONDS at the earliest.
 
-        Until then the process can serve again if its successor dies.
+        Until then, it can serve again if its successor ends.
         """
         await asyncio.sleep(STANDBY_SECONDS)
         while self._parts.engine.in_flight or self._parts.listener.connections:
