--- a/quota_ingress/net/acceptor.py
+++ b/quota_ingress/net/acceptor.py
@@ -11,7 +11,7 @@
 | any other | the listening socket is broken | logs the error, and tries again after RETRY_DELAY_S |
 
 The event loop's own server closes waiting connections, with their requests, when descriptors run out. This
-acceptor never closes a connection before a protocol owns it.
+acceptor leaves them in the queue, and closes only accepted ones that end before a protocol is attached.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from enum import Enum, auto
 
 MAX_ACCEPTS_PER_TURN = 32  # per event loop iteration, so that open connections are served in between
-RETRY_DELAY_S = 0.02  # after an attempt that failed for lack of descriptors or memory
-LISTEN_TIMEOUT_S = 10.0  # at start, for attempts to listen that fail for lack of them
+RETRY_DELAY_S = 0.02  # after an attempt that failed for one of the last two reasons in the table
+LISTEN_TIMEOUT_S = 10.0  # at start, for attempts to listen that fail for lack of descriptors or memory
 BACKLOG = 4096  # connections in the accept queue; beyond it, the kernel drops new ones
 CONNECTION_FAILED = frozenset(
     {
@@ -54,7 +54,7 @@
     Args:
         host: The address to bind; unused with `inherited`.
         port: The port to bind; unused with `inherited`.
-        inherited: The descriptor of a socket that the platform holds, to be duplicated. None: a new socket.
+        inherited: The descriptor of an inherited listening socket, to be duplicated. None: a new socket.
 
     Raises:
         OSError: The socket could not be created. For lack of descriptors or memory, it is raised only after
@@ -78,7 +78,7 @@
 
     EMPTY = auto()
     MORE = auto()
-    SHORTAGE = auto()  # of descriptors or memory
+    SHORTAGE = auto()  # of descriptors or memory; also any other fault of the listening socket
     NO_CAPACITY = auto()  # `has_capacity` refused a further connection
 
 
@@ -110,12 +110,15 @@
         self._loop = asyncio.get_running_loop()
         self._reading = False
         self._at_capacity = False  # reading stopped because `has_capacity` refused a connection
-        self._paused_at = 0.0 if queued_before else None  # loop time, s; None once the queue was found empty
+        self._paused_at = 0.0 if queued_before else None  # loop time, s; 0: unknown; None: queue found empty
         self._retry_timer: asyncio.TimerHandle | None = None
         self._opening: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Accepts connections until `pause`. Has no effect if already started."""
+        """Accepts connections until `pause`, or until `has_capacity` refuses one; no effect if started.
+
+        After a refusal, the owner calls `start` again once there is capacity.
+        """
         if not self._reading and self._socket.fileno() >= 0:
             self._reading = True
             self._loop.add_reader(self._socket.fileno(), self._accept_ready)
@@ -200,6 +203,6 @@
     async def _connect(self, accepted: socket.socket, queued_since: float | None) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: self._make_protocol(queued_since), accepted)
-        except OSError as error:  # the connection ended before its protocol was called
+        except OSError as error:  # the connection ended before its protocol was attached
             log.info("accept: connection ended before its protocol was called: %s", error)
             accepted.close()
--- a/quota_ingress/net/admin.py
+++ b/quota_ingress/net/admin.py
@@ -29,7 +29,7 @@
 
 
 class Status(IntEnum):
-    """The status codes of answers; importing `http.HTTPStatus` would take a tenth of the start's time."""
+    """The status codes of answers; importing `http.HTTPStatus` would take a tenth of the start-up time."""
 
     OK = 200
     BAD_REQUEST = 400
@@ -51,13 +51,13 @@
     """Carries out operators' calls."""
 
     def ready(self) -> bool:
-        """Returns whether a request that arrives now would be served."""
+        """Returns whether connections are accepted, and any endpoint accepts requests."""
 
     def take_offline(self, name: str) -> bool:
-        """Bans an endpoint; returns False if it was never listed."""
+        """Bans an endpoint; returns False if it is unknown, e.g. never listed."""
 
     def put_online(self, name: str) -> bool:
-        """Ends an endpoint's ban; returns False if it was never listed."""
+        """Ends an endpoint's ban; returns False if it is unknown, e.g. never listed."""
 
     def drain(self, is_draining: bool) -> None:
         """Takes the ingress out of service if `is_draining`, else puts it back in service."""
--- a/quota_ingress/net/backoff.py
+++ b/quota_ingress/net/backoff.py
@@ -16,7 +16,7 @@
 
 
 class Backoff:
-    """The waits between attempts: doubled after each attempt, with a random jitter of plus or minus half.
+    """The waits between attempts: doubled after each attempt, with a random jitter of plus or minus 50 %.
 
     Without the jitter, a fleet whose calls failed at the same time would repeat them at the same time.
     """
@@ -35,7 +35,7 @@
         self._next = self._initial
 
     def next_wait(self, limit: float = math.inf) -> float:
-        """Returns the next wait in seconds; one over `limit` is drawn again, from `limit / 2` to `limit`."""
+        """Returns the next wait in seconds; if over `limit`, a random one from `limit / 2` to `limit`."""
         wait = self._next * (0.5 + self._random_fraction())
         self._next = min(2 * self._next, self._longest)
         if wait <= limit:
--- a/quota_ingress/net/descriptors.py
+++ b/quota_ingress/net/descriptors.py
@@ -7,9 +7,9 @@
 UNCOUNTED_DESCRIPTORS = 30
 """Standard streams, event loop, listening socket; discovery and the counter, twice during a reload."""
 ADMIN_DESCRIPTORS = 12  # reserved, so that operators' calls are answered when all others are in use
-USABLE_FRACTION = 0.92  # of the rest: a closed descriptor is free only after the next loop iteration
-CLIENT_FRACTION = 0.52  # of the usable ones: a third of the limit is for requests, the rest may be idle
-CLIENT_OVERFLOW_FRACTION = 0.04  # of the limit: client connections above their share, to reject requests
+USABLE_FRACTION = 0.92  # of the rest: a closed descriptor is free only in the event loop's next iteration
+CLIENT_FRACTION = 0.52  # of the usable ones: a third of the limit for requests, the rest for idle connections
+CLIENT_OVERFLOW_FRACTION = 0.04  # of the limit, beyond the clients' share: accepted only to reject requests
 
 
 class DescriptorShare:
--- a/quota_ingress/net/dial.py
+++ b/quota_ingress/net/dial.py
@@ -9,8 +9,8 @@
     """Connects `protocol` to `address` (host and port) within `timeout_s` seconds.
 
     A connection may be established just as its timeout expires or its task is cancelled. The event loop has
-    then called `connection_made`, but closes the transport without calling `connection_lost`. It is called
-    here, because the protocol may have started timers.
+    then called `connection_made`, but closes the transport without calling `connection_lost`. This function
+    calls it after each failure, because the protocol may have started timers.
 
     Raises:
         OSError: The connection could not be established; TimeoutError, a subclass, if it took too long.
--- a/quota_ingress/net/event_log.py
+++ b/quota_ingress/net/event_log.py
@@ -1,8 +1,8 @@
-"""Counts what the process did and why, and optionally logs each event.
+"""Counts the events of the process by kind and reason, and optionally logs each of them.
 
 With `EDGE_TRACE=1` in the environment, each event is written as one line of JSON through the logger
 `quota_ingress.events`: `at` (monotonic clock, us), `event`, `reason` if there is one, and the fields of the
-event. The counts are always kept, and logged at the end of the process.
+event. The counts are always kept, and logged when the process ends.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
             self._write(kind, reason, fields)
 
     def violation(self, rule: str, **fields: object) -> None:
-        """Counts and always logs that a rule of the service was broken, or that this was just prevented."""
+        """Counts a violation of a rule of the service, or one that was just prevented, and always logs it."""
         self.counts[VIOLATION_KIND, rule] += 1
         log.warning("rule %s: %s", rule, self._text(fields))
 
