--- a/quota_ingress/__main__.py
+++ b/quota_ingress/__main__.py
@@ -56,7 +56,7 @@
     path = os.environ.get("EDGE_CONFIG", "")
     try:
         uvloop.run(serve(load_config(path, os.environ), path))
-        for number in (*STOP_SIGNALS, signal.SIGHUP):  # Python restores the default handlers before it exits
+        for number in (*STOP_SIGNALS, signal.SIGHUP):  # else Python restores their default handlers at exit
             signal.signal(number, signal.SIG_IGN)
     except (ConfigError, OSError) as error:
         print(f"quota_ingress: {error}", file=sys.stderr)
--- a/quota_ingress/config.py
+++ b/quota_ingress/config.py
@@ -58,11 +58,11 @@
     seed: int
     max_descriptors: int
     memory_mb: float
-    inherited_listener: int | None  # descriptor of the clients' listening socket if the platform holds it
+    inherited_listener: int | None  # descriptor of the clients' listening socket, if inherited
     shared_directory: str  # shared by all processes of this ingress; "": none
     known_endpoints: EndpointList | None  # as the previous process held them; None: invalid, or not decoded
     settings: Settings
-    settings_document: Document  # the settings before decoding, for the names in them
+    settings_document: Document  # the settings before decoding, for the names that `settings` has as numbers
     idle_timeout_us: int  # for connections to endpoints
 
 
@@ -115,15 +115,15 @@
         "admin": environment.get("EDGE_ADMIN"),
         "discovery": environment.get("EDGE_DISCOVERY"),
     }
-    located = document | {key: address for key, address in overrides.items() if address}
+    with_overrides = document | {key: address for key, address in overrides.items() if address}
     limits = document.get("limits", {})
     descriptor = environment.get("EDGE_LISTEN_FD")
     settings_document = _required(document, "settings")
     return Config(
-        listen=_parse_address(located, "listen"),
-        admin=_parse_address(located, "admin") if located.get("admin") else None,
-        discovery=_parse_address(located, "discovery"),
-        counter=_parse_address(located, "counter") if located.get("counter") else None,
+        listen=_parse_address(with_overrides, "listen"),
+        admin=_parse_address(with_overrides, "admin") if with_overrides.get("admin") else None,
+        discovery=_parse_address(with_overrides, "discovery"),
+        counter=_parse_address(with_overrides, "counter") if with_overrides.get("counter") else None,
         seed=_parse("seed", lambda: int(str(_required(document, "seed")), 16)),
         inherited_listener=_parse("EDGE_LISTEN_FD", lambda: int(descriptor)) if descriptor else None,
         shared_directory=environment.get("TMPDIR", ""),
@@ -164,7 +164,10 @@
 
 
 def _parse_known_endpoints(document: Document) -> EndpointList | None:
-    """Returns None for an invalid list, so that the start goes on and asks discovery for the whole list."""
+    """Returns the list under the key `known`; an empty one without that key, and None for an invalid list.
+
+    With None, the start continues, and discovery is asked for the whole list.
+    """
     known = document.get("known")
     try:
         return EndpointList(0, True, {}) if known is None else decode_endpoint_list(known)
--- a/quota_ingress/settings_codec.py
+++ b/quota_ingress/settings_codec.py
@@ -1,6 +1,7 @@
 """Decodes the platform's JSON settings into `quota_ingress.policy.settings`.
 
-The platform's keys for settings appear only in this module. Times are whole microseconds on both sides.
+A few other keys of these settings are read by `quota_ingress.config` (the idle timeout) and `SettingsIndex`
+(names and the maximum units of a request). Times are whole microseconds in the JSON and in `Settings`.
 """
 
 from __future__ import annotations
