--- a/quota_ingress/net/lifecycle/upgrade_messages.py
+++ b/quota_ingress/net/lifecycle/upgrade_messages.py
@@ -1,7 +1,7 @@
 """The messages between the two processes of an upgrade, and their codec: one JSON object per line.
 
 The keys, their order and the forms of the values must stay those of the versions in service: a process must
-be able to take over from an older version, and to hand over to it. The answer to `Question.TAKE` is the
+be able to take over from an older version, and to hand over to it. The answer to `Question.TAKE_OVER` is the
 policy's snapshot, which `quota_ingress.net.engine.snapshot_codec` encodes and decodes.
 
 The messages are NamedTuples, since each dataclass would add 0.7 ms to the program's start.
@@ -26,7 +26,7 @@
 
 
 class MessageError(ValueError):
-    """A line is not a message of this version: a field is missing, unknown or of the wrong type."""
+    """A message cannot be accepted: its version or a field is not valid, or its question is refused."""
 
 
 class EndpointListChangeError(MessageError):
@@ -37,7 +37,7 @@
     """What the new process asks of the serving process."""
 
     HELLO = "hello"  # answered with ListParts, then a ServingState
-    TAKE = "take"  # answered with the policy's snapshot; the serving process stops accepting
+    TAKE_OVER = "take"  # answered with the policy's snapshot; the serving process stops accepting
 
 
 class Ask(NamedTuple):
@@ -117,7 +117,7 @@
 
     Raises:
         EndpointListChangeError: A list change cannot be decoded; the channel can go on without it.
-        MessageError: The line cannot be decoded.
+        MessageError: Anything else cannot be decoded.
     """
     try:
         document = json.loads(line)
@@ -180,7 +180,7 @@
 
 
 def _decode_entries(entries: Mapping[str, str]) -> dict[str, PackedEntry]:
-    """Returns the entries as this version packs them; raises one of DECODE_ERRORS for a bad entry."""
+    """Returns the entries as this version packs them; raises one of DECODE_ERRORS for an invalid entry."""
     return {name: pack_entry(unpack_entry(name, packed)) for name, packed in entries.items()}
 
 
