--- a/ingress_testbed/experiments/base.py
+++ b/ingress_testbed/experiments/base.py
@@ -8,8 +8,8 @@
 from ingress_testbed.lab import Lab
 
 UNUSED_PORT = 1  # nothing listens on this port
-PROBE = "ingress_testbed.probe:Probe"
-Figures = dict[str, float]  # by name; the last word of the name is the unit, see `results`
+PROBE = "ingress_testbed.probe:Probe"  # module and class that a worker process loads
+Figures = dict[str, float]  # by name; the last word of the name is the unit, see `ingress_testbed.results`
 
 
 class ExperimentError(RuntimeError):
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """An experiment that is played at several sizes.
+    """An experiment that is run at several sizes.
 
     Attributes:
         name: Its name on the command line.
-        size_name: What its sizes count.
+        size_name: What a size is a number of, for example "classes".
         description: What it measures, in a few words.
         play: Runs one repetition at the given size and returns its figures.
         options: Its options and their default values.
--- a/ingress_testbed/hosts.py
+++ b/ingress_testbed/hosts.py
@@ -1,4 +1,7 @@
-"""Hosts that run the stand-ins in worker processes; their methods are called by name from the experiments."""
+"""Classes that run the fake discovery service, counter and backends in worker processes.
+
+Experiments call their methods by name.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class DiscoveryHost:
-    """Runs a discovery server, which lists backends and sends changes on request."""
+    """Runs a discovery server, which lists backends and sends changes when the experiment asks for them."""
 
     _discovery: DiscoveryServer
     _rng: random.Random
@@ -36,13 +39,19 @@
         return self._discovery.port
 
     def change(self, lines: int = 1, each: int = 1) -> int:
-        """Sends `lines` change lines with `each` restarted backends each; returns the list's new version."""
+        """Sends `lines` change lines, each of which restarts `each` random backends.
+
+        Returns the list's new version.
+        """
         for _ in range(lines):
             self._discovery.apply_change(draw_restarts(self._rng, self._backends, each, self._port))
         return self._discovery.version
 
     def remove(self, fraction: float) -> int:
-        """Removes a random fraction of the backends in one change line; returns the list's new version."""
+        """Removes random backends in one change line; returns the list's new version.
+
+        Their number is `fraction` of the initial number of backends, also after earlier removals.
+        """
         count = round(fraction * self._backends)
         names = self._rng.sample(sorted(self._discovery.entries), count)
         return self._discovery.apply_change([{"name": name, "status": "removed"} for name in names])
@@ -111,7 +120,10 @@
         return self._backends.port
 
     def counts(self) -> dict[str, int]:
-        """Returns totals since the start, the current `open` connections, and the most at one backend."""
+        """Returns totals since the start, the current number of `open` connections, and `max_open`.
+
+        `max_open` is the highest number of connections that one backend has had open at once.
+        """
         backends = self._backends
         return {
             "served": backends.served,
--- a/ingress_testbed/soak/endpoints.py
+++ b/ingress_testbed/soak/endpoints.py
@@ -10,7 +10,7 @@
 
 
 class EndpointTable:
-    """The current entries of the endpoint list. Numbers of new endpoints are not reused."""
+    """The current entries of the endpoint list. Each new endpoint gets a number not used before."""
 
     def __init__(self, count: int, port: int) -> None:
         """Starts with `count` endpoints that all listen at `port`, each at a different address."""
@@ -37,19 +37,19 @@
         return rng.sample(self.names, max(1, len(self._entries) // parts))
 
     def replace(self, names: list[str], status: str) -> list[dict[str, Any]]:
-        """Removes endpoints from the list with a last `status`, and lists as many new ones.
+        """Replaces endpoints by as many new ones; `status` is the status of the replaced ones from now on.
 
         Returns:
-            The changed entries: the removed ones, then the new ones.
+            The changed entries: those of the replaced endpoints, then those of the new ones.
         """
-        withdrawn = [self._entries.pop(name) | {"status": status} for name in names]
+        replaced = [self._entries.pop(name) | {"status": status} for name in names]
         added = []
         for _ in names:
             listed = entry(self._next_number, self._port, since_ms=_now_ms())
             self._next_number += 1
             self._entries[listed["name"]] = listed
             added.append(listed)
-        return withdrawn + added
+        return replaced + added
 
     def restart(self, names: list[str]) -> list[dict[str, Any]]:
         """Lists endpoints as started now. Returns the changed entries."""
--- a/quota_ingress/net/downstream/process_delay.py
+++ b/quota_ingress/net/downstream/process_delay.py
@@ -1,4 +1,4 @@
-"""Records event loop delays, with the processor time that tells a busy process from a suspended one."""
+"""Records event loop delays, with the CPU time that distinguishes a busy process from a suspended one."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class ProcessDelayMonitor:
-    """Records late periodic calls in the event log, with the processor time used since the last call.
+    """Records periodic calls that are more than WRITE_DELAY late in the event log, with the CPU time used.
 
-    Little processor time during a delay shows that the machine did not run the process.
+    The CPU time is that since the previous call; little of it shows that the machine did not run the process.
     """
 
     def __init__(self, event_log: EventLog, interval_us: int) -> None:
@@ -23,7 +23,7 @@
         self._last_cpu_s = 0.0
 
     def record_call(self, now: int) -> None:
-        """Records the periodic call at the time `now` (us), and an event if it is late."""
+        """Records the periodic call at `now` (us), and an event if it is more than WRITE_DELAY late."""
         cpu_s = time.process_time()
         if self._last_call_at is not None:
             late = now - self._last_call_at - self._interval_us
--- a/quota_ingress/net/downstream/request_parser.py
+++ b/quota_ingress/net/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""Validates clients' requests as the protocol page specifies, and encodes the head forwarded to backends."""
+"""Validates clients' requests against the client protocol, and encodes the head forwarded to backends."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 CUSTOMER_NUMBER_LIMIT = 1 << 33  # exclusive
 METHODS = (b"GET", b"HEAD", b"POST")
 US_PER_MS = 1000
-MAX_TIMEOUT_DEADLINES = 2  # clients wait up to the class's deadline; up to this multiple of it is accepted
+MAX_TIMEOUT_DEADLINES = 2  # class deadlines; a Request-Timeout up to this is accepted, but capped at one
 
 
 class InvalidRequestError(Exception):
@@ -84,7 +84,11 @@
         )
 
     def _request_class(self, message: Message) -> int:
-        """Returns the class named by the first segment of the path, after checking the method against it."""
+        """Returns the class named by the first segment of the path.
+
+        Checks that the class takes the method and that only a POST has a body. Converts a target in absolute
+        form to origin form.
+        """
         method = message.method
         if method not in METHODS:
             raise InvalidRequestError(405, "only GET, HEAD and POST are known here")
@@ -137,8 +141,8 @@
 def encode_forwarded_head(message: Message, request_id: bytes) -> bytes:
     """Returns the head sent to a backend, except Request-Timeout and the final empty line.
 
-    Target (in origin form), Request-Id and Idempotency-Key are forwarded unchanged. Sets whether the body is
-    forwarded with chunked transfer coding.
+    Forwards the target, which must be in origin form, Host, Request-Id, Idempotency-Key and Content-Type
+    unchanged. Sets `body.chunked`, which tells whether the body is forwarded with chunked transfer coding.
     """
     headers = message.headers
     body = message.body
--- a/quota_ingress/net/engine/ports.py
+++ b/quota_ingress/net/engine/ports.py
@@ -74,10 +74,10 @@
         """Adds or updates an entry of the endpoint list, before the policy is notified of it."""
 
     def reconcile(self, removed: Iterable[int]) -> None:
-        """Closes idle connections and fails unwritten attempts to endpoints whose entries require it.
+        """Closes the idle connections and fails the unwritten attempts of some endpoints.
 
-        These are endpoints that have moved, have restarted or accept no more requests. The endpoints
-        `removed` are forgotten.
+        These are endpoints that have changed address, have restarted, accept no more requests or are in
+        `removed`. The connection pools of `removed` are dropped.
         """
 
     def send(
@@ -96,8 +96,8 @@
             backend: The endpoint's number.
             head: The request's head without its last lines, which `authorize` returns.
             on_ended: Called once with the result.
-            non_idempotent: The request cannot be retried after a connection reset, so a reused connection is
-                avoided while reused ones often end at their next request.
+            non_idempotent: The request cannot be retried after a connection reset, so it gets a new
+                connection while reused connections often end before a response.
             body: The request's body, if it is streamed; None if `authorize` returns it.
             on_stream_started: Called with a streamed response when it begins, before `on_ended`.
             authorize: Called immediately before the write to check the send rules once more. Returns the data
--- a/quota_ingress/net/engine/requests.py
+++ b/quota_ingress/net/engine/requests.py
@@ -35,7 +35,7 @@
     Attributes:
         answered: Whether the final answer has been sent, or the client has disconnected.
         attempts_in_flight: The number of attempts that have not ended.
-        body_complete_at: When the body was complete; None before that, while no deadline runs.
+        body_complete_at: When the engine started the deadline timer, as the body was complete; None before.
     """
 
     __slots__ = (
--- a/quota_ingress/policy/admission.py
+++ b/quota_ingress/policy/admission.py
@@ -6,7 +6,9 @@
 2. The customer's quota: units leased from the shared counter, or a new lease (`leased_quota`,
    `counted_quota`).
 3. If the counter cannot be called, this gateway's share of the quota (`local_allowance`).
-4. For requests over the quota, the borrowing ring: a rejection with or without Retry-After.
+
+A request that fails them is rejected, with Retry-After if the borrowing ring has capacity. If requests over
+the plan's quota earn more than they cost, and the endpoints have spare capacity, it is sent instead.
 
 The design follows "Re-synchronization and Controllability of Bursty Service Requests" (Abacus Filters). The
 leases are an addition: the paper has a single filter in front of its service.
@@ -31,7 +33,7 @@
 from quota_ingress.policy.settings import Plan, Settings
 from quota_ingress.policy.snapshot import CustomerQuotaSnapshot
 
-OPTIONAL_WORK_MAX_UTILIZATION = 0.6  # of the pooled limit; from there on, no hedges, no over-quota requests
+OPTIONAL_WORK_MAX_UTILIZATION = 0.6  # of the pooled limit; from it on, no hedged or over-quota attempts
 
 
 class RequestLifecycle(Protocol):
@@ -58,7 +60,7 @@
         settings: Settings,
         rng: random.Random,
         endpoint_utilization: Callable[[], float],
-        requests: RequestLifecycle,
+        lifecycle: RequestLifecycle,
     ) -> None:
         """Creates a controller without customers.
 
@@ -66,26 +68,27 @@
             settings: The gateway's settings.
             rng: The gateway's source of random numbers.
             endpoint_utilization: Returns the attempts in flight as a fraction of the pooled limit.
-            requests: Forwards and answers requests once admission has decided on them.
+            lifecycle: Forwards and answers requests once admission has decided on them.
         """
         self._settings = settings
         self._rng = rng
         self._endpoint_utilization = endpoint_utilization
-        self._requests = requests
+        self._lifecycle = lifecycle
         self._statistics = LeaseStatistics(settings.plans)
         self.customers: dict[int, CustomerQuota] = {}
         self.pending_calls: dict[int, deque[CounterCall]] = {}  # by counter name, the oldest first
         self.call_pacing = CallPacing(settings.counter, settings.fleet_size)
         limits = settings.limits
         longest_retry_after = limits.max_retry_after if limits.sends_retry_after else 0
-        self.retry_after = longest_retry_after or SECOND  # us; T0 and d_0 of the paper
+        # Also the slot duration of the borrowing ring; T0 and d_0 in the paper.
+        self.retry_after = longest_retry_after or SECOND  # us
 
     def quota_for(self, event: RequestArrived) -> CustomerQuota:
         """Returns the quota of the request's customer; creates one for a customer without recent requests."""
         quota = self.customers.get(event.customer)
         if quota is None:
             gateway_count = min(self._settings.fleet_size, max(1, event.gateway_count))
-            quota = self._new_quota(self._settings.plans[event.plan], gateway_count, self._requests.now)
+            quota = self._new_quota(self._settings.plans[event.plan], gateway_count, self._lifecycle.now)
             self.customers[event.customer] = quota
         return quota
 
@@ -104,7 +107,7 @@
     def on_arrival(self, request: Request) -> None:
         """Counts a new request towards its customer's demand and decides on it."""
         event = request.event
-        request.quota.record_arrival(self._requests.now, event.units, event.is_retry)
+        request.quota.record_arrival(self._lifecycle.now, event.units, event.is_retry)
         self._admit(request)
 
     def on_timer(self, request: Request) -> None:
@@ -113,15 +116,15 @@
             self._admit(request)
 
     def _admit(self, request: Request, answered: bool = False) -> None:
-        """Decides on a request; `answered`: the counter has just answered the lease that it waited for."""
+        """Decides on a request; `answered`: the counter has just answered the lease call it awaited."""
         quota = request.quota
-        now = self._requests.now
+        now = self._lifecycle.now
         if quota.plan.max_in_flight and quota.in_flight >= quota.plan.max_in_flight:
             self._handle_over_quota(request)
             return
         match quota.assess(request, now, self.call_pacing, answered):
             case Decision.ADMIT:
-                if self._requests.send(request):
+                if self._lifecycle.send(request):
                     quota.spend(request.event.units)
             case Decision.OVER_QUOTA:
                 self._handle_over_quota(request)
@@ -129,7 +132,7 @@
                 self._admit_without_counter(request)
             case Decision.DEFER:
                 call_at = max(now, self.call_pacing.next_call_at) + self._settings.tick
-                self._requests.actions.append(SetTimer(request.event.request, call_at))
+                self._lifecycle.actions.append(SetTimer(request.event.request, call_at))
             case Decision.AWAIT_LEASE:
                 quota.waiting.append(request)
             case Decision.REQUEST_LEASE:
@@ -140,14 +143,14 @@
         """Decides by the local allowance; at random if the allowance covers only part of the request."""
         quota = request.quota
         units = request.event.units
-        now = self._requests.now
+        now = self._lifecycle.now
         fraction = quota.admitted_fraction_without_counter(now, units, request.event.is_retry)
         if self._rng.random() >= fraction:
-            # A rejection uses up these units, too: a second draw for them would raise the probability of
-            # admission.
+            # Deducted although the request is rejected: if these units stayed, there would be a second random
+            # draw for them, which would raise the probability of admission.
             quota.local_allowance.units -= units * fraction
             self._handle_over_quota(request)
-        elif self._requests.send(request):
+        elif self._lifecycle.send(request):
             quota.spend_without_counter(now, units)
 
     def _handle_over_quota(self, request: Request) -> None:
@@ -161,15 +164,15 @@
             plan.over_quota_earnings > plan.over_quota_cost
             and self._endpoint_utilization() < OPTIONAL_WORK_MAX_UTILIZATION
         ):
-            self._requests.send(request)
+            self._lifecycle.send(request)
         else:
-            retry_after = request.quota.book_retry(self._requests.now, request.event.units)
-            self._requests.reject(request, retry_after)
+            retry_after = request.quota.book_retry(self._lifecycle.now, request.event.units)
+            self._lifecycle.reject(request, retry_after)
 
     def _call(self, call: CounterCall) -> None:
-        self._requests.actions.append(AddToCounter(call.counter_name, call.amount, call.ttl))
+        self._lifecycle.actions.append(AddToCounter(call.counter_name, call.amount, call.ttl))
         self.pending_calls.setdefault(call.counter_name, deque()).append(call)
-        self.call_pacing.on_call(self._requests.now)
+        self.call_pacing.on_call(self._lifecycle.now)
 
     def on_counter_answer(self, event: CounterAnswered) -> None:
         """Completes the oldest pending call for that counter name and decides on the requests waiting for it.
@@ -179,7 +182,7 @@
         call = self._take_pending_call(event.name)
         if call is None:
             return
-        now = self._requests.now
+        now = self._lifecycle.now
         answered = self.call_pacing.on_answer(now, event.outcome, event.total, event.latency)
         quota = call.quota
         quota.on_call_ended(call, now, was_added=event.outcome not in NEVER_RAN)
@@ -205,7 +208,7 @@
 
     def discard_idle_customers(self) -> None:
         """Discards customers idle for so long that their buckets must be full again."""
-        now = self._requests.now
+        now = self._lifecycle.now
         self.customers = {
             customer: quota
             for customer, quota in self.customers.items()
@@ -220,7 +223,10 @@
         )
 
     def restore(self, snapshots: tuple[CustomerQuotaSnapshot, ...]) -> None:
-        """Adopts customers from another process; skips those already known or unfit for the settings."""
+        """Adopts customers from another process; skips those already known.
+
+        Also skips those whose plan is not in the settings or whose number of gateways exceeds the fleet.
+        """
         plans = self._settings.plans
         for snapshot in snapshots:
             has_plan = 0 <= snapshot.plan < len(plans)
--- a/quota_ingress/policy/local_allowance.py
+++ b/quota_ingress/policy/local_allowance.py
@@ -20,7 +20,7 @@
         self.units = min(self.capacity, self.units + self.refill_rate * elapsed_s)
 
     def refill_to_fit(self, elapsed_s: float, request_units: float) -> None:
-        """Refills the share for `elapsed_s` seconds, up to its capacity or one request if that is more."""
+        """Refills the share for `elapsed_s` seconds, up to its capacity or `request_units`, if more."""
         self.units = min(max(request_units, self.capacity), self.units + self.refill_rate * elapsed_s)
 
     def spend(self, units: float) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from tests.support.streaming import IngressAndBackend
 from tests.support.upstream import PooledBackend
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"  # a line each: test | cause, issue
+KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"  # one test a line: its node id | cause, issue
 MAX_KNOWN_RED = 3
 
 
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 def backend_answers(backend: PeerServer) -> None:
-    """Lets the backend answer each request with 200."""
+    """Makes the backend answer each request with 200."""
     backend.on_data = respond_with(OK)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -38,7 +38,7 @@
 )
 PLANS = (
     Plan("small", rate=2.0, burst=4.0),
-    Plan("paid beyond", rate=2.0, burst=4.0, over_quota_earnings=0.3),
+    Plan("paid over quota", rate=2.0, burst=4.0, over_quota_earnings=0.3),
     Plan("capped", rate=0.0, burst=0.0, max_in_flight=2),
     Plan("ceiling", rate=2.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=8.0),
 )
--- a/tests/support/simulator_frames.py
+++ b/tests/support/simulator_frames.py
@@ -25,7 +25,7 @@
     },
     "services": [{"deadline": 900000, "name": "s", "on_time": 500000, "semantics": "retryable"}],
     "telemetry": {"fields": ["pending"]},
-    "unheard_of": [1, 2],
+    "unheard_of": [1, 2],  # an unknown key like "brand_new_key"; both are to be ignored
 }
 CONFIG_TEXT = json.dumps(CONFIG).encode()
 ENDPOINT = b"\x0a\x00\x00\x07\x90\x1f"
@@ -39,7 +39,7 @@
 
 
 def batch(*records: bytes, tail: bytes = b"", now: int = 500, number: int = 3) -> bytes:
-    """Encodes a batch of records without its length prefix."""
+    """Encodes a batch without its length prefix; `tail` is the data after the records that they refer to."""
     return struct.pack("<QII", now, len(records), number) + b"".join(records) + tail
 
 
@@ -48,4 +48,4 @@
     return struct.pack("<I", len(body)) + body
 
 
-CONTEXT = record(7, "I", 5)
+CONTEXT = record(7, "I", 5)  # the records that follow are for instance 5
